--- a/Source/policy/crash_detector.cpp
+++ b/Source/policy/crash_detector.cpp
@@ -8,123 +8,124 @@
 
 namespace {
 
-    // A server that fell silent as it crashed is back, and listed anew, after about four seconds.
-    constexpr milliseconds suspicionLife { 10'000 };
-    // Calls at a crashed server are found to be lost within a few milliseconds of each other,
-    // silent ones within the callers' patience of two seconds.
-    constexpr milliseconds crashedLife { 10'000 };
-    // Calls kept for one life: what a server runs at once and a few that wait there. Bounds the
-    // memory where thousands wait at one server.
-    constexpr std::size_t mostCalls = 64;
+    // A server that crashed without closing its connections is restarted and listed again after about four seconds.
+    constexpr milliseconds suspicionLifetime { 10'000 };
+    // Calls at a crashed server are found to be lost within a few milliseconds of each other, and calls
+    // that just fall silent within the callers' patience of two seconds.
+    constexpr milliseconds crashedLifetime { 10'000 };
+    // Calls kept for one incarnation: those that a server runs at once and some that wait there. Bounds
+    // the memory where thousands of calls wait at one server.
+    constexpr std::size_t maxCalls = 64;
 
 } // namespace
 
-std::uint32_t hashOf(const server_life& life)
+std::uint32_t hashOf(const server_life& server)
 {
-    return static_cast<std::uint32_t>(XXH64(life.id.data(), life.id.size(), life.incarnation));
+    return static_cast<std::uint32_t>(XXH64(server.id.data(), server.id.size(), server.incarnation));
 }
 
-bool crash_detector::hasCrashed(const server_life& life, instant now) const
+bool crash_detector::hasCrashed(const server_life& server, instant now) const
 {
-    const auto crashed = m_crashed.find(life);
-    return crashed != m_crashed.end() && now - crashed->second < crashedLife;
+    const auto crashed = m_crashed.find(server);
+    return crashed != m_crashed.end() && now - crashed->second < crashedLifetime;
 }
 
-crash_detector::finding crash_detector::noteLost(const server_life& life, const lost_call& call, instant now)
+crash_detector::finding crash_detector::noteLost(const server_life& server, const lost_call& call, instant now)
 {
-    if (hasCrashed(life, now))
+    if (hasCrashed(server, now))
         return finding::crashed;
-    auto& held = m_suspicions[life];
-    if (held.calls.size() < mostCalls)
-        held.calls.push_back(call);
-    return std::exchange(held.looking, true) ? finding::wait : finding::look;
+    auto& entry = m_suspicions[server];
+    if (entry.calls.size() < maxCalls)
+        entry.calls.push_back(call);
+    return std::exchange(entry.isProbing, true) ? finding::wait : finding::probe;
 }
 
-// A server that works on a request may be past saving when that is withdrawn. Without this call, the
-// crash that follows would be booked to whoever runs beside it, and would speak for the request.
-bool crash_detector::noteWithdrawn(const server_life& life, const lost_call& call, instant now)
+// A request may crash a server even after it is withdrawn. If the withdrawn call were not recorded, the
+// crash would be blamed on the requests that run beside it, and would count as evidence that this request
+// is not the cause.
+bool crash_detector::noteWithdrawn(const server_life& server, const lost_call& call, instant now)
 {
-    if (hasCrashed(life, now))
+    if (hasCrashed(server, now))
         return true;
-    auto& withdrawn = m_suspicions[life].withdrawn;
+    auto& withdrawn = m_suspicions[server].withdrawn;
     withdrawn.push_back(call);
-    if (withdrawn.size() > mostCalls)
+    if (withdrawn.size() > maxCalls)
         withdrawn.pop_front();
     return false;
 }
 
-void crash_detector::noteAnswered(const server_life& life, instant sentAt)
+void crash_detector::noteAnswered(const server_life& server, instant sentAt)
 {
-    const auto held = m_suspicions.find(life);
-    if (held == m_suspicions.end())
+    const auto entry = m_suspicions.find(server);
+    if (entry == m_suspicions.end())
         return;
-    std::erase_if(held->second.withdrawn, [sentAt](const lost_call& call) { return call.lostAt <= sentAt; });
-    if (held->second.empty())
-        m_suspicions.erase(held);
+    std::erase_if(entry->second.withdrawn, [sentAt](const lost_call& call) { return call.lostAt <= sentAt; });
+    if (entry->second.empty())
+        m_suspicions.erase(entry);
 }
 
-void crash_detector::noteAlive(const server_life& life, instant then)
+void crash_detector::noteAlive(const server_life& server, instant then)
 {
-    const auto held = m_suspicions.find(life);
-    if (held == m_suspicions.end())
+    const auto entry = m_suspicions.find(server);
+    if (entry == m_suspicions.end())
         return;
-    std::erase_if(held->second.calls, [then](const lost_call& call) { return call.lostAt <= then; });
-    if (held->second.calls.empty())
-        held->second.looking = false;
-    if (held->second.empty())
-        m_suspicions.erase(held);
+    std::erase_if(entry->second.calls, [then](const lost_call& call) { return call.lostAt <= then; });
+    if (entry->second.calls.empty())
+        entry->second.isProbing = false;
+    if (entry->second.empty())
+        m_suspicions.erase(entry);
 }
 
-void crash_detector::noteUndecided(const server_life& life)
+void crash_detector::noteUndecided(const server_life& server)
 {
-    const auto held = m_suspicions.find(life);
-    if (held != m_suspicions.end())
-        held->second.looking = false;
+    const auto entry = m_suspicions.find(server);
+    if (entry != m_suspicions.end())
+        entry->second.isProbing = false;
 }
 
-std::vector<lost_call> crash_detector::noteCrashed(const server_life& life, instant now)
+std::vector<lost_call> crash_detector::noteCrashed(const server_life& server, instant now)
 {
-    m_crashed.emplace(life, now);
-    const auto held = m_suspicions.find(life);
-    if (held == m_suspicions.end())
+    m_crashed.emplace(server, now);
+    const auto entry = m_suspicions.find(server);
+    if (entry == m_suspicions.end())
         return {};
-    auto calls = std::move(held->second.calls);
-    calls.insert(calls.end(), held->second.withdrawn.begin(), held->second.withdrawn.end());
-    m_suspicions.erase(held);
+    auto calls = std::move(entry->second.calls);
+    calls.insert(calls.end(), entry->second.withdrawn.begin(), entry->second.withdrawn.end());
+    m_suspicions.erase(entry);
     return calls;
 }
 
-bool crash_detector::looking(const server_life& life) const
+bool crash_detector::isProbing(const server_life& server) const
 {
-    const auto held = m_suspicions.find(life);
-    return held != m_suspicions.end() && held->second.looking;
+    const auto entry = m_suspicions.find(server);
+    return entry != m_suspicions.end() && entry->second.isProbing;
 }
 
 std::vector<server_life> crash_detector::undecided() const
 {
-    std::vector<server_life> lives;
-    for (const auto& [life, held] : m_suspicions)
-        lives.push_back(life);
-    return lives;
+    std::vector<server_life> servers;
+    for (const auto& [server, entry] : m_suspicions)
+        servers.push_back(server);
+    return servers;
 }
 
 std::optional<server_life> crash_detector::findUndecided(std::uint32_t hash) const
 {
-    const auto found = std::find_if(m_suspicions.begin(), m_suspicions.end(), [hash](const auto& held) { return hashOf(held.first) == hash; });
+    const auto found = std::find_if(m_suspicions.begin(), m_suspicions.end(), [hash](const auto& entry) { return hashOf(entry.first) == hash; });
     if (found == m_suspicions.end())
         return std::nullopt;
     return found->first;
 }
 
-void crash_detector::settle(instant now)
+void crash_detector::expire(instant now)
 {
-    const auto isOld = [now](const lost_call& call) { return now - call.lostAt >= suspicionLife; };
-    std::erase_if(m_crashed, [now](const auto& crashed) { return now - crashed.second >= crashedLife; });
-    for (auto& [life, held] : m_suspicions) {
-        std::erase_if(held.calls, isOld);
-        std::erase_if(held.withdrawn, isOld);
+    const auto isOld = [now](const lost_call& call) { return now - call.lostAt >= suspicionLifetime; };
+    std::erase_if(m_crashed, [now](const auto& crashed) { return now - crashed.second >= crashedLifetime; });
+    for (auto& [server, entry] : m_suspicions) {
+        std::erase_if(entry.calls, isOld);
+        std::erase_if(entry.withdrawn, isOld);
     }
-    std::erase_if(m_suspicions, [](const auto& held) { return held.second.empty(); });
+    std::erase_if(m_suspicions, [](const auto& entry) { return entry.second.empty(); });
 }
 
 } // namespace rampgap
--- a/Source/policy/crash_detector.h
+++ b/Source/policy/crash_detector.h
@@ -1,4 +1,4 @@
-// Which backend servers crashed, and which requests they were running as they did.
+// Detects which backend servers crashed, and which requests they were running at that time.
 #pragma once
 
 #include "policy/request_fingerprint.h"
@@ -13,7 +13,7 @@
 
 namespace rampgap {
 
-// One life of a backend server: it may be started again under its id.
+// One incarnation of a backend server, which may be started again under the same id.
 struct server_life {
     std::string id;
     std::uint64_t incarnation = 0;
@@ -21,14 +21,14 @@
     auto operator<=>(const server_life&) const = default;
 };
 
-// Names a life to other processes; 32 bits of a hash.
+// Identifies an incarnation to other processes; 32 bits of a hash.
 std::uint32_t hashOf(const server_life&);
 
-// A call that ended without its whole answer: the server broke it off, or we withdrew it.
+// A call that ended without a whole answer: the server broke it off, or this process withdrew it.
 struct lost_call {
     std::string requestId;
     request_fingerprint request;
-    // Whole events that had come.
+    // Whole events that had been received.
     std::uint64_t events = 0;
     instant sentAt;
     instant lostAt;
@@ -39,48 +39,48 @@
 class crash_detector {
 public:
     enum class finding {
-        // Not known yet whether the server lives: somebody is to look.
-        look,
-        // Somebody is looking already.
+        // It is unknown whether the server still runs: the caller is to probe it.
+        probe,
+        // The same, and a probe is already under way.
         wait,
         // The server has crashed, and the request was running there.
         crashed,
     };
 
     finding noteLost(const server_life&, const lost_call&, instant now);
-    // We ended the call. The server may have begun to run it and may crash for that reason later
-    // on. Nobody needs to look. True if it is known to have crashed.
+    // This process ended the call. The server may have begun to run it and may still crash because of it.
+    // No probe is needed. True if the server is known to have crashed.
     bool noteWithdrawn(const server_life&, const lost_call&, instant now);
-    // The server answered a call that was sent then: it has outlived what was withdrawn before.
+    // The server answered a call that was sent at `sentAt`, so calls that were withdrawn before then did not crash it.
     void noteAnswered(const server_life&, instant sentAt);
-    // The server has gone on listening for long: whatever broke off its calls until then, it was no crash.
+    // The server has kept listening for long: whatever broke off its calls up to `then` was no crash.
     void noteAlive(const server_life&, instant then);
-    // A look ended and nothing is sure: it brought no answer, or the server still listened, which
-    // lives or takes longer to end than the look. Nobody looks until the next call is lost.
+    // A probe ended without a result: it got no answer, or the server still listened and so either runs
+    // on or takes longer to end than the probe. There is no further probe until the next call is lost.
     void noteUndecided(const server_life&);
-    // Nothing listens at its address, or it was started anew. Returns the calls that it had.
+    // Nothing listens at the server's address, or it was restarted. Returns the calls that it was running.
     std::vector<lost_call> noteCrashed(const server_life&, instant now);
     bool hasCrashed(const server_life&, instant now) const;
 
-    // Calls at it ended, and it is not known whether it did.
-    bool isInQuestion(const server_life& life) const { return m_suspicions.contains(life); }
-    // True until the look that `noteLost` asked for has brought something.
-    bool looking(const server_life&) const;
-    // Lives of which it is not known whether they ended.
+    // Calls at the server ended, and it is not known whether the server did.
+    bool isInQuestion(const server_life& server) const { return m_suspicions.contains(server); }
+    // True until the probe that `noteLost` asked for has a result.
+    bool isProbing(const server_life&) const;
+    // Incarnations of which it is not known whether they ended.
     std::vector<server_life> undecided() const;
-    // The one of these with this hash, if any.
+    // The undecided incarnation with this hash, if any.
     std::optional<server_life> findUndecided(std::uint32_t hash) const;
-    // Forgets what nobody found out about.
-    void settle(instant now);
+    // Drops calls and crashes that are too old to matter.
+    void expire(instant now);
 
 private:
     struct suspicion {
         std::vector<lost_call> calls;
         // Oldest first.
         std::deque<lost_call> withdrawn;
-        bool looking = false;
+        bool isProbing = false;
 
-        bool empty() const { return calls.empty() && withdrawn.empty() && !looking; }
+        bool empty() const { return calls.empty() && withdrawn.empty() && !isProbing; }
     };
 
     std::map<server_life, suspicion> m_suspicions;
--- a/Source/policy/crash_history.h
+++ b/Source/policy/crash_history.h
@@ -1,5 +1,5 @@
-// Which requests were running on backend servers as these crashed, as all entry VMs together saw
-// it, and which of them are therefore not sent to any server again.
+// Which requests were running on backend servers as these crashed, as seen by all entry VMs together,
+// and which of them are therefore blocked.
 #pragma once
 
 #include "policy/request_fingerprint.h"
@@ -16,98 +16,97 @@
 
 namespace rampgap {
 
-// One crash of a server that was running the request.
+// A crash of one server that was running the request.
 struct seen_crash {
-    // hashOf the server's life.
+    // hashOf the server's incarnation.
     std::uint32_t server = 0;
-    // The request had only begun: as a rule it ends a server with its first step.
+    // The request had just begun. A request that crashes servers usually does so with its first step.
     bool early = false;
 
     auto operator<=>(const seen_crash&) const = default;
 };
 
-// Crashes under one request; what processes tell each other.
+// Crashes of servers that were running one request, as processes send them to each other.
 struct crash_record {
     request_fingerprint request;
     std::vector<seen_crash> crashes;
-    // A server ran it to the end after these crashes: they were not its doing.
+    // A server ran the request to the end after these crashes, so it did not cause them.
     bool served = false;
 
     bool operator==(const crash_record&) const = default;
 };
 
-// With the time since each request was last seen.
+// Records, each with the time since its request was last seen.
 using aged_crashes = std::vector<std::pair<crash_record, milliseconds>>;
 
-// What is asked before a request is sent to a server.
+// Input of the decision whether a request may be sent to a server.
 struct send_question {
     request_fingerprint request;
-    // A crash would close a whole expert group, not one server only.
+    // A crash would close a whole expert group, not only one server.
     bool closesGroup = false;
-    // It has been at a server before: this is the same caller's other try.
-    bool again = false;
+    // It was sent to a server before: this is a retry for the same caller.
+    bool isRetry = false;
 };
 
 class crash_history {
 public:
-    // `events`: whole events of its answer that this server had sent.
+    // `events`: whole events of the answer that the server had sent.
     void noteCrash(request_fingerprint, std::uint32_t server, std::uint64_t events, instant now);
     void noteServed(request_fingerprint, instant now);
-    // From a peer; `age`: since the request was last seen. True if it was news.
+    // Merges a peer's record. `age`: since the request was last seen. True if this changed anything.
     bool merge(const crash_record&, milliseconds age, instant now);
 
-    // Empty if the request may be sent to a server; otherwise how long it may not.
+    // How long the request is still blocked; empty if it is not.
     std::optional<milliseconds> barredFor(request_fingerprint, instant now) const;
-    // The refusal that its caller gets while it is barred; its coming keeps it barred for longer.
+    // The refusal for the caller of a blocked request; empty if it is not blocked. Extends the block.
     std::optional<failure> refuseBarred(request_fingerprint, instant now);
-    // The refusal of a request that may not be sent now: barred, or suspected after one crash.
+    // The refusal of a request that may not be sent now: it is blocked, or suspected after one crash.
     std::optional<failure> refuse(const send_question&, instant now);
-    // Which process lets suspected requests begin; every one does where none is set.
+    // `isChosen`: whether this process may start isolated attempts of a request. Without it, every process may.
     void setTrialChoice(std::function<bool(request_fingerprint)> isChosen) { m_isChosen = std::move(isChosen); }
-    // Called when something new is known of a request.
+    // Called when something new becomes known about a request.
     void onChange(std::function<void(request_fingerprint)> action) { m_onChange = std::move(action); }
-    // Called when the crash of a server's life (its hashOf) is first heard of.
+    // Called when the crash of a server's incarnation (given by its hashOf) first becomes known.
     void onServerCrashed(std::function<void(std::uint32_t server)> action) { m_onServerCrashed = std::move(action); }
-    // It is barred, or suspected of a crash as it began.
+    // The request is blocked, or suspected of a crash as it began.
     bool isPutOff(request_fingerprint request, instant now) const { return barredFor(request, now) || isSuspected(request, now); }
-    // Set while it is suspected only because news of a crash that may acquit it can still be on
-    // their way: until when.
+    // Set while the request is suspected only until updates that may clear it have arrived: until when.
     std::optional<instant> undecidedUntil(request_fingerprint, instant now) const;
-    // Why a request may be sent though a server crashed as it began; empty if none did.
+    // Why a request may be sent although a server crashed as it began; empty if none did.
     std::string_view whyLetThrough(request_fingerprint, instant now) const;
-    // A request begins at a server: until its end no copy of it does here if it is suspected.
-    // False if it is not.
+    // A request begins at a server. If it is suspected, this process sends no copy of it until the attempt
+    // ends. False if it is not suspected.
     bool beginTrial(request_fingerprint, instant now);
-    // `isLost`: the server ended the call, so that it may have crashed.
+    // `isLost`: the server broke off the call, so it may have crashed.
     void endTrial(request_fingerprint, bool isLost, instant now);
-    // The caller of a barred request came again: it stays barred for so much longer.
+    // The caller of a blocked request came again: the block lasts its full time from now.
     void noteBarred(request_fingerprint, instant now);
 
-    // What changed since the last call, most crashes first, at most `limit`; with its age.
+    // At most `limit` of the requests whose records changed since they were last taken, those with the most crashes first.
     aged_crashes takeNews(std::size_t limit, instant now);
-    bool hasNews() const { return !m_news.empty(); }
-    // The requests that several servers crashed under, for a peer that lacks some.
+    bool hasNews() const { return !m_changed.empty(); }
+    // Records of the requests under which several servers crashed, for a peer that lacks some.
     aged_crashes repeated(instant now) const;
-    // What is known of one request; empty if nothing is. The crashes that it is cleared of stand in
-    // a record of their own.
-    aged_crashes about(request_fingerprint, instant now) const;
-    // Of what `repeated` returns; equal where two processes know the same. 0: none.
+    // What is known about one request; empty if nothing is. The crashes that it is cleared of are in a
+    // separate record.
+    aged_crashes recordsOf(request_fingerprint, instant now) const;
+    // Digest of what `repeated` returns, equal in processes that know the same. 0 if there are no such requests.
     std::uint32_t digest() const { return m_digest; }
-    // Requests that are barred now.
-    std::vector<request_fingerprint> barred(instant now) const;
+    // Requests that are blocked now.
+    std::vector<request_fingerprint> blocked(instant now) const;
 
-    // Forgets what has not come again for long.
-    void settle(instant now);
+    // Drops requests that have not been seen for long.
+    void expire(instant now);
     std::size_t size() const { return m_requests.size(); }
 
 private:
     struct entry {
         std::set<seen_crash> crashes;
-        // Of their servers those that it is cleared of: another ran it to the end since.
+        // Servers of these crashes that the request is cleared of: another server has run it to the end since.
         std::set<std::uint32_t> cleared;
         instant seenAt;
     };
-    // What is to blame first: by crashes, then by how many of them followed its beginning.
+    // How strong the evidence against a request is: first by crashes, then by how many of them followed its start.
     struct weight {
         std::size_t crashes = 0;
         std::size_t early = 0;
@@ -115,60 +114,62 @@
         auto operator<=>(const weight&) const = default;
     };
 
-    struct judgement {
-        // When it stops to count as the cause of a crash; empty if it does not count as the cause of
-        // one, instant::max() if it does for good.
+    struct assessment {
+        // Until when the request counts as the cause of a crash; empty if it does not count as the cause
+        // of any, instant::max() if nothing ends that.
         std::optional<instant> until;
-        // What cleared it of a crash, if anything did.
-        std::string_view liftedBy;
+        // The reason why it was cleared of a crash; empty if it was not.
+        std::string_view clearedBy;
     };
 
-    // The requests that ran on a server as it crashed, and when that was heard first.
+    // The requests that ran on a server as it crashed, and when the crash first became known.
     struct crashed_server {
         std::set<request_fingerprint> suspects;
         instant crashedAt;
     };
 
-    static std::vector<seen_crash> openCrashes(const entry&);
-    static weight weigh(const entry&);
-    static milliseconds memoryOf(const entry&);
-    bool take(const crash_record&, milliseconds age, instant now, bool own);
-    // What is known of a crash of this server; the end of the crashes if nothing is.
+    static std::vector<seen_crash> unclearedCrashes(const entry&);
+    static weight weightOf(const entry&);
+    static milliseconds retentionOf(const entry&);
+    bool apply(const crash_record&, milliseconds age, instant now, bool own);
+    // The crash of this server in `crashes`, or their end.
     static std::set<seen_crash>::const_iterator findCrash(const entry&, std::uint32_t server);
-    // True if it was not cleared of all of these.
+    // Clears the request of these crashes. True if it was not yet cleared of all of them.
     static bool clear(entry&, const std::vector<seen_crash>&);
-    // True if it was not known.
+    // Adds a crash. True if that changed the entry.
     bool add(entry&, request_fingerprint, const seen_crash&, instant crashedAt);
-    // Tells whoever asked to hear of it.
-    void announce(request_fingerprint, const std::vector<std::uint32_t>& newServers);
-    void noteChange(request_fingerprint);
+    // Calls the functions set by onServerCrashed and onChange.
+    void notifyListeners(request_fingerprint, const std::vector<std::uint32_t>& newServers);
+    void recordChange(request_fingerprint);
     void updateDigest();
-    // False if all that is held says more than a request with so many crashes.
+    // Drops the request with the weakest evidence if the table is full. False if all of them have stronger
+    // evidence than a request with so many crashes.
     bool makeRoom(std::size_t crashes, bool own);
     void erase(request_fingerprint);
     void forgetSuspect(std::uint32_t server, request_fingerprint);
     std::vector<request_fingerprint> repeatedRequests() const;
     void addRecords(aged_crashes&, request_fingerprint, instant now) const;
-    // Another request explains the crash better: more servers crashed under it.
-    bool explained(const seen_crash&, request_fingerprint, const weight&) const;
-    // Set if more servers crashed at the same moment without it than with it: that has another
-    // cause. From then on; news of its calls there may come until then.
-    std::optional<instant> acquittedAt(const seen_crash&, const entry&) const;
-    // What its crashes, if it had just begun in any, make of it.
-    judgement judge(request_fingerprint, instant now) const;
-    // It had just begun as one server crashed, and nothing else explains that crash.
+    // Another request explains the crash better: there is more evidence against it.
+    bool isExplainedByOther(const seen_crash&, request_fingerprint, const weight&) const;
+    // When the request is cleared of the crash because more servers crashed at the same moment without it
+    // than with it, which points to another cause. Until then, updates may still arrive that it also ran
+    // on those servers. Empty if that does not apply.
+    std::optional<instant> clearedAt(const seen_crash&, const entry&) const;
+    // Assesses a request by the crashes in which it had just begun.
+    assessment assess(request_fingerprint, instant now) const;
+    // It had just begun as a server crashed, and nothing else explains that crash.
     bool isSuspected(request_fingerprint, instant now) const;
-    // Another request explains all these crashes as well as this one.
-    bool hasRival(const std::vector<seen_crash>&, request_fingerprint, const weight&) const;
+    // Another request explains all these crashes equally well.
+    bool hasEqualSuspect(const std::vector<seen_crash>&, request_fingerprint, const weight&) const;
 
     std::map<request_fingerprint, entry> m_requests;
     std::map<std::uint32_t, crashed_server> m_servers;
-    // Suspected requests that are at a server, and until when that counts.
-    std::map<request_fingerprint, instant> m_trials;
+    // Suspected requests that are running at a server, and until when an attempt excludes others.
+    std::map<request_fingerprint, instant> m_isolatedAttempts;
     std::function<bool(request_fingerprint)> m_isChosen;
     std::function<void(request_fingerprint)> m_onChange;
     std::function<void(std::uint32_t)> m_onServerCrashed;
-    std::set<request_fingerprint> m_news;
+    std::set<request_fingerprint> m_changed;
     std::uint32_t m_digest = 0;
 };
 
--- a/Tests/platform/crash-detection/test.cpp
+++ b/Tests/platform/crash-detection/test.cpp
@@ -1,4 +1,4 @@
-// Which servers crashed, and under which requests, as one entry VM can tell.
+// Detecting which servers crashed, and under which requests, in one entry VM.
 #include "policy/crash_detector.h"
 
 #include <doctest/doctest.h>
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a request is known again by what its caller sends again, and by nothing less")
+TEST_CASE("a repeated request has the same fingerprint, any other request has not")
 {
     const auto request = fingerprintOf("POST", "/draft/7", "key-a", "body");
     CHECK((request == fingerprintOf("POST", "/draft/7", "key-a", "body")));
@@ -31,53 +31,53 @@
         CHECK_FALSE(parseFingerprint(wrong));
 }
 
-TEST_CASE("the calls that were lost together are found when the server is found dead")
+TEST_CASE("all calls that were lost in a crash are reported when the crash is detected")
 {
     crash_detector detector;
-    CHECK((detector.noteLost(first, lostAt("a", milliseconds(100)), zero + milliseconds(100)) == finding::look));
+    CHECK((detector.noteLost(first, lostAt("a", milliseconds(100)), zero + milliseconds(100)) == finding::probe));
     CHECK((detector.noteLost(first, lostAt("b", milliseconds(101)), zero + milliseconds(101)) == finding::wait));
     CHECK(detector.noteCrashed(first, zero + milliseconds(103)).size() == 2);
-    // The end of a connection may be seen later than that of the server.
+    // The end of a connection may be noticed later than the crash of the server.
     CHECK((detector.noteLost(first, lostAt("c", milliseconds(110)), zero + milliseconds(110)) == finding::crashed));
-    // The same id in its next life has not crashed.
-    CHECK((detector.noteLost({ "i-1", 2'000 }, lostAt("d", milliseconds(5'000)), zero + milliseconds(5'000)) == finding::look));
+    // The next incarnation with the same id has not crashed.
+    CHECK((detector.noteLost({ "i-1", 2'000 }, lostAt("d", milliseconds(5'000)), zero + milliseconds(5'000)) == finding::probe));
 }
 
-TEST_CASE("a server that broke off calls and lives has not crashed")
+TEST_CASE("a server that broke off calls but still runs has not crashed")
 {
     crash_detector detector;
     detector.noteLost(first, lostAt("a", milliseconds(100)), zero + milliseconds(100));
     detector.noteAlive(first, zero + milliseconds(103));
     CHECK(detector.undecided().empty());
-    // A crash later on has nothing to do with that call.
+    // A later crash has nothing to do with that call.
     detector.noteLost(first, lostAt("b", milliseconds(900)), zero + milliseconds(900));
     const auto calls = detector.noteCrashed(first, zero + milliseconds(903));
     REQUIRE(calls.size() == 1);
     CHECK(calls.front().requestId == "b");
 }
 
-TEST_CASE("a silent server stays undecided until it is started anew, or for ten seconds")
+TEST_CASE("a silent server stays undecided until it is restarted, or for ten seconds")
 {
     crash_detector detector;
     detector.noteLost(first, lostAt("a", milliseconds(2'000)), zero + milliseconds(2'000));
     detector.noteUndecided(first);
-    detector.settle(zero + milliseconds(6'000));
+    detector.expire(zero + milliseconds(6'000));
     CHECK(detector.undecided() == std::vector<server_life> { first });
-    CHECK((detector.noteLost(first, lostAt("b", milliseconds(2'500)), zero + milliseconds(2'500)) == finding::look));
+    CHECK((detector.noteLost(first, lostAt("b", milliseconds(2'500)), zero + milliseconds(2'500)) == finding::probe));
     CHECK(detector.noteCrashed(first, zero + milliseconds(6'000)).size() == 2);
     const server_life other { "i-2", 1'000 };
     detector.noteLost(other, lostAt("c", milliseconds(2'000)), zero + milliseconds(2'000));
     detector.noteUndecided(other);
-    detector.settle(zero + milliseconds(12'001));
+    detector.expire(zero + milliseconds(12'001));
     CHECK(detector.undecided().empty());
 }
 
-TEST_CASE("a call that was withdrawn was at the server that crashes a moment later")
+TEST_CASE("a withdrawn call counts as running at a server that crashes a moment later")
 {
     crash_detector detector;
     CHECK_FALSE(detector.noteWithdrawn(first, lostAt("a", milliseconds(100)), zero + milliseconds(100)));
     detector.noteLost(first, lostAt("b", milliseconds(102)), zero + milliseconds(102));
-    // A look tells what a server did to its calls, not what one of them is about to do to it.
+    // A probe shows whether the server has crashed, not whether one of its calls is about to crash it.
     detector.noteAlive(first, zero + milliseconds(104));
     CHECK((detector.findUndecided(hashOf(first)) == first));
     CHECK_FALSE(detector.findUndecided(hashOf(first) + 1));
@@ -85,11 +85,11 @@
     REQUIRE(calls.size() == 1);
     CHECK(calls.front().requestId == "a");
     CHECK(detector.hasCrashed(first, zero + milliseconds(300)));
-    // The same if it is withdrawn after the end is known.
+    // The same if the call is withdrawn after the crash is known.
     CHECK(detector.noteWithdrawn(first, lostAt("c", milliseconds(301)), zero + milliseconds(301)));
 }
 
-TEST_CASE("a server that answers what was sent later has outlived a withdrawn call")
+TEST_CASE("a server that answers a later call was not crashed by the withdrawn one")
 {
     crash_detector detector;
     detector.noteWithdrawn(first, lostAt("a", milliseconds(100)), zero + milliseconds(100));
@@ -98,13 +98,13 @@
     detector.noteAnswered(first, zero + milliseconds(100));
     CHECK(detector.undecided().empty());
     detector.noteWithdrawn(first, lostAt("b", milliseconds(200)), zero + milliseconds(200));
-    detector.settle(zero + milliseconds(10'199));
+    detector.expire(zero + milliseconds(10'199));
     CHECK_FALSE(detector.undecided().empty());
-    detector.settle(zero + milliseconds(10'200));
+    detector.expire(zero + milliseconds(10'200));
     CHECK(detector.undecided().empty());
 }
 
-TEST_CASE("withdrawn calls take bounded memory and no place of those that the server broke off")
+TEST_CASE("withdrawn calls take bounded memory and do not displace calls that the server broke off")
 {
     crash_detector detector;
     for (int i = 0; i < 1'000; ++i)
--- a/Tests/platform/crash-history/test.cpp
+++ b/Tests/platform/crash-history/test.cpp
@@ -1,4 +1,4 @@
-// Which request is kept from the servers when some of them crash.
+// Which requests are blocked when servers crash.
 #include "policy/crash_history.h"
 
 #include <algorithm>
@@ -19,113 +19,113 @@
     return { number };
 }
 
-bool isBarred(const crash_history& history, request_fingerprint which, instant now = zero)
+bool isBlocked(const crash_history& history, request_fingerprint which, instant now = zero)
 {
     return history.barredFor(which, now).has_value();
 }
 
 } // namespace
 
-TEST_CASE("a request under which two servers crashed as it began is barred, its neighbours are not")
+TEST_CASE("a request under which two servers crashed as it began is blocked, requests that ran beside it are not")
 {
-    // The load: one caller's request comes again each 4 s, to servers that run a dozen others.
+    // Load pattern: a caller repeats one request every 4 s, at servers that run a dozen others.
     crash_history history;
-    const auto guilty = request(1);
+    const auto cause = request(1);
     for (const std::uint32_t server : { 10U, 11U }) {
-        CHECK_FALSE(isBarred(history, guilty));
-        history.noteCrash(guilty, server, 0, zero);
+        CHECK_FALSE(isBlocked(history, cause));
+        history.noteCrash(cause, server, 0, zero);
         for (std::uint64_t neighbour = 0; neighbour < 11; ++neighbour)
             history.noteCrash(request(100 * server + neighbour), server, neighbour % 3 == 0 ? 0 : manyEvents, zero);
     }
-    CHECK(isBarred(history, guilty));
-    CHECK(history.barred(zero) == std::vector<request_fingerprint> { guilty });
+    CHECK(isBlocked(history, cause));
+    CHECK(history.blocked(zero) == std::vector<request_fingerprint> { cause });
 }
 
-TEST_CASE("a neighbour in both crashes is told from the one at fault by the third crash at the latest")
+TEST_CASE("a request that ran beside the cause in both crashes is told apart by the third crash")
 {
     crash_history history;
-    const auto guilty = request(1);
+    const auto cause = request(1);
     const auto neighbour = request(2);
     for (const std::uint32_t server : { 10U, 11U }) {
-        history.noteCrash(guilty, server, 0, zero);
+        history.noteCrash(cause, server, 0, zero);
         history.noteCrash(neighbour, server, 0, zero);
     }
-    CHECK_FALSE(isBarred(history, guilty));
-    CHECK_FALSE(isBarred(history, neighbour));
-    history.noteCrash(guilty, 12, 0, zero);
-    CHECK(isBarred(history, guilty));
-    CHECK_FALSE(isBarred(history, neighbour));
+    CHECK_FALSE(isBlocked(history, cause));
+    CHECK_FALSE(isBlocked(history, neighbour));
+    history.noteCrash(cause, 12, 0, zero);
+    CHECK(isBlocked(history, cause));
+    CHECK_FALSE(isBlocked(history, neighbour));
 }
 
-TEST_CASE("a neighbour that had been streaming in both crashes is told at once")
+TEST_CASE("a request that was already streaming in both crashes is told apart from the cause at once")
 {
     crash_history history;
     for (const std::uint32_t server : { 10U, 11U }) {
         history.noteCrash(request(1), server, 0, zero);
         history.noteCrash(request(2), server, manyEvents, zero);
     }
-    CHECK(isBarred(history, request(1)));
-    CHECK_FALSE(isBarred(history, request(2)));
+    CHECK(isBlocked(history, request(1)));
+    CHECK_FALSE(isBlocked(history, request(2)));
 }
 
-TEST_CASE("a request that ends servers only after some events is barred by its third crash")
+TEST_CASE("a request that crashes servers only after some events is blocked after its third crash")
 {
     crash_history history;
     for (const std::uint32_t server : { 10U, 11U })
         history.noteCrash(request(1), server, manyEvents, zero);
-    CHECK_FALSE(isBarred(history, request(1)));
+    CHECK_FALSE(isBlocked(history, request(1)));
     history.noteCrash(request(1), 12, manyEvents, zero);
-    CHECK(isBarred(history, request(1)));
+    CHECK(isBlocked(history, request(1)));
 }
 
-TEST_CASE("a request that a server has run to its end is at no fault in what had crashed")
+TEST_CASE("a request that a server has run to its end is cleared of the crashes before")
 {
     crash_history history;
     history.noteCrash(request(1), 10, 0, zero);
     history.noteServed(request(1), zero);
     for (const std::uint32_t server : { 11U, 12U })
         history.noteCrash(request(1), server, 0, zero);
-    CHECK_FALSE(isBarred(history, request(1)));
-    // Nor does it explain the crashes of another.
+    CHECK_FALSE(isBlocked(history, request(1)));
+    // Nor does it explain the crashes under another request.
     for (const std::uint32_t server : { 11U, 12U })
         history.noteCrash(request(2), server, 0, zero);
-    CHECK(isBarred(history, request(2)));
-    // Served again, it is cleared of these as well.
+    CHECK(isBlocked(history, request(2)));
+    // Served again, the request is cleared of these crashes as well.
     history.noteServed(request(1), zero);
     for (const std::uint32_t server : { 13U, 14U })
         history.noteCrash(request(1), server, 0, zero);
-    CHECK_FALSE(isBarred(history, request(1)));
+    CHECK_FALSE(isBlocked(history, request(1)));
 }
 
-TEST_CASE("a request that servers of one version ran and those of the next crash under is barred by their third crash")
+TEST_CASE("a request that one server version runs and the next one crashes under is blocked after three crashes of the next")
 {
-    // One answer cleared a request for good, and it went to each server of the new version.
+    // If one answer cleared a request for good, it would go on to crash each server of the new version.
     crash_history history;
     history.noteCrash(request(1), 10, 0, zero);
     history.noteServed(request(1), zero);
     std::uint32_t server = 11;
-    for (; !isBarred(history, request(1)); ++server) {
+    for (; !isBlocked(history, request(1)); ++server) {
         REQUIRE(server < 14);
         history.noteCrash(request(1), server, 0, zero);
     }
     CHECK(server == 14);
-    // Whoever is told of it knows the same.
+    // A peer that merges the records comes to the same result.
     crash_history other;
     for (const auto& [record, age] : history.repeated(zero))
         other.merge(record, age, zero);
-    CHECK(isBarred(other, request(1)));
+    CHECK(isBlocked(other, request(1)));
     CHECK(other.digest() == history.digest());
 }
 
-TEST_CASE("servers that crash one by one under different requests bar none")
+TEST_CASE("servers that crash one by one under different requests block none of these")
 {
     crash_history history;
     for (std::uint64_t number = 0; number < 500; ++number)
         history.noteCrash(request(number), static_cast<std::uint32_t>(number / 12), number % 3, zero);
-    CHECK(history.barred(zero).empty());
+    CHECK(history.blocked(zero).empty());
 }
 
-TEST_CASE("a request stays barred while its caller comes again, and ten minutes longer")
+TEST_CASE("a request stays blocked while its caller repeats it, and ten minutes longer")
 {
     crash_history history;
     for (const std::uint32_t server : { 10U, 11U })
@@ -133,19 +133,19 @@
     instant now = zero;
     for (int i = 0; i < 10; ++i) {
         now += std::chrono::minutes(9);
-        history.settle(now);
-        REQUIRE(isBarred(history, request(1), now));
+        history.expire(now);
+        REQUIRE(isBlocked(history, request(1), now));
         history.noteBarred(request(1), now);
     }
     CHECK(history.barredFor(request(1), now) == std::chrono::minutes(10));
     now += std::chrono::minutes(10);
-    CHECK_FALSE(isBarred(history, request(1), now));
-    history.settle(now);
+    CHECK_FALSE(isBlocked(history, request(1), now));
+    history.expire(now);
     CHECK(history.size() == 0);
     CHECK(history.digest() == 0);
 }
 
-TEST_CASE("whoever heard the same knows the same, in whatever order it came")
+TEST_CASE("the order in which records are merged does not matter")
 {
     CHECK(rc::check([] {
         std::vector<crash_record> records;
@@ -163,33 +163,33 @@
         for (auto record = records.rbegin(); record != records.rend(); ++record)
             other.merge(*record, milliseconds(0), zero);
         RC_ASSERT(one.digest() == other.digest());
-        RC_ASSERT(one.barred(zero) == other.barred(zero));
+        RC_ASSERT(one.blocked(zero) == other.blocked(zero));
         for (const auto& [record, age] : one.repeated(zero))
             RC_ASSERT_FALSE(other.merge(record, age, zero));
     }));
 }
 
-TEST_CASE("in groups of any size the one at fault is barred by its third crash, others next to never")
+TEST_CASE("in groups of any size the cause is blocked by its third crash, and hardly any other request is")
 {
-    // After a closure all who waited begin together, so neighbours begin with it; whoever was
-    // running is tried again at the next opening, at any server.
+    // After a closure all waiting requests begin together, so that others begin beside the cause. Requests
+    // that were running are retried at the next opening, at any server.
     std::mt19937_64 random(20261203);
-    int innocentBarred = 0;
+    int innocentBlocked = 0;
     int innocents = 0;
     for (int run = 0; run < 400; ++run) {
         const std::uint32_t ranks = std::array { 3U, 12U, 24U, 129U }[static_cast<std::size_t>(run % 4)];
         crash_history history;
-        const auto guilty = request(1);
+        const auto cause = request(1);
         std::vector<std::uint64_t> waiting;
         std::uint64_t next = 2;
         std::uint32_t crashes = 0;
-        for (; !isBarred(history, guilty); ++crashes) {
+        for (; !isBlocked(history, cause); ++crashes) {
             REQUIRE(crashes < 3);
             while (waiting.size() < 8 * ranks)
                 waiting.push_back(next++);
-            // Each crash is that of another life.
+            // Each crash is that of another incarnation.
             const std::uint32_t crashed = 1'000 * crashes + static_cast<std::uint32_t>(random() % ranks);
-            history.noteCrash(guilty, crashed, 0, zero);
+            history.noteCrash(cause, crashed, 0, zero);
             std::vector<std::uint64_t> lost;
             for (const auto number : waiting) {
                 if (random() % ranks == 0) {
@@ -200,13 +200,13 @@
             waiting = lost;
         }
         innocents += static_cast<int>(next - 2);
-        innocentBarred += static_cast<int>(history.barred(zero).size()) - 1;
+        innocentBlocked += static_cast<int>(history.blocked(zero).size()) - 1;
     }
-    MESSAGE("neighbours barred: " << innocentBarred << " of " << innocents);
-    CHECK(innocentBarred * 1'000 < innocents);
+    MESSAGE("innocent requests blocked: " << innocentBlocked << " of " << innocents);
+    CHECK(innocentBlocked * 1'000 < innocents);
 }
 
-TEST_CASE("a crash of very many servers takes bounded memory, and what crashed twice stays known")
+TEST_CASE("crashes of very many servers take bounded memory, and a request with two crashes is kept")
 {
     crash_history history;
     for (const std::uint32_t server : { 1U, 2U })
@@ -214,5 +214,5 @@
     for (std::uint64_t number = 100; number < 10'100; ++number)
         history.merge({ request(number), { { static_cast<std::uint32_t>(number), true } }, false }, milliseconds(0), zero);
     CHECK(history.size() <= 2'048);
-    CHECK(isBarred(history, request(1)));
+    CHECK(isBlocked(history, request(1)));
 }
--- a/Tests/platform/suspected-request/test.cpp
+++ b/Tests/platform/suspected-request/test.cpp
@@ -1,7 +1,6 @@
-// A request that has crashed one server as it began. Copies of it waited at several entry VMs until
-// the group was back, and each VM sent its own on before the second crash was known to any: "call_crashed
-// ... fingerprint=e5bc860e56063349 events=0" came from seven VMs at four servers within 39 ms. The history
-// counted crashes, and said nothing of a request with one.
+// A request that has crashed one server as it began must not crash others through its copies: these wait at
+// several entry VMs until the group is open again, and without this rule each VM sends its copy before the
+// second crash is known to any. Seven VMs crashed four servers within 39 ms in this way.
 #include "policy/crash_history.h"
 #include "policy/peer_table.h"
 
@@ -41,35 +40,35 @@
     CHECK((refused->ran == verdict::not_run));
     CHECK(refused->retryAfter == milliseconds(56'000));
     CHECK_FALSE(maySend(history, zero + minute - milliseconds(1), true));
-    // Being refused does not keep it suspected for longer, as it does where it is barred.
+    // A refusal does not prolong the suspicion, as it does prolong a block.
     CHECK(maySend(history, zero + minute, true));
     CHECK_FALSE(history.barredFor(suspect, zero));
 }
 
-TEST_CASE("whoever has sent a copy hears of the crash, and only of what is new")
+TEST_CASE("a process that has sent a copy is notified of the crash, once")
 {
     crash_history history;
-    std::vector<request_fingerprint> heard;
+    std::vector<request_fingerprint> notified;
     history.onChange([&](request_fingerprint request) {
         CHECK(history.isPutOff(request, zero));
-        heard.push_back(request);
+        notified.push_back(request);
     });
-    const crash_record told { suspect, { { 10, true } }, false };
-    history.merge(told, milliseconds(5), zero);
-    history.merge(told, milliseconds(9), zero);
-    CHECK(heard == std::vector<request_fingerprint> { suspect });
+    const crash_record record { suspect, { { 10, true } }, false };
+    history.merge(record, milliseconds(5), zero);
+    history.merge(record, milliseconds(9), zero);
+    CHECK(notified == std::vector<request_fingerprint> { suspect });
 }
 
-TEST_CASE("a second crash after that minute bars it")
+TEST_CASE("a second crash after that minute blocks it")
 {
     auto history = crashedOnce();
     const instant later = zero + minute * 5;
-    history.settle(later);
+    history.expire(later);
     history.noteCrash(suspect, 11, 0, later);
     CHECK(history.barredFor(suspect, later));
 }
 
-TEST_CASE("after that minute one process tries it, one copy at a time")
+TEST_CASE("after that minute one process makes isolated attempts, one at a time")
 {
     auto chosen = crashedOnce();
     auto other = crashedOnce();
@@ -84,13 +83,13 @@
         chosen.endTrial(suspect, false, later);
         CHECK(maySend(chosen, later, true));
     }
-    SUBCASE("ended by the server: until it is known whether that has crashed")
+    SUBCASE("broken off by the server: until it is known whether that has crashed")
     {
         chosen.endTrial(suspect, true, later);
         CHECK_FALSE(maySend(chosen, later + milliseconds(499), true));
         CHECK(maySend(chosen, later + milliseconds(500), true));
     }
-    SUBCASE("served: it is cleared, here and at whoever hears of it")
+    SUBCASE("served: it is cleared, here and at a peer that gets the update")
     {
         chosen.noteServed(suspect, later);
         chosen.endTrial(suspect, false, later);
@@ -102,7 +101,7 @@
     }
 }
 
-TEST_CASE("where a crash takes one server only, the caller's other try goes on and copies wait for it")
+TEST_CASE("where a crash stops only one server, the caller's retry goes on and copies wait for it")
 {
     auto history = crashedOnce();
     history.setTrialChoice([](request_fingerprint) { return false; });
@@ -112,11 +111,11 @@
     CHECK_FALSE(maySend(history, zero, false, true));
     history.endTrial(suspect, false, zero);
     CHECK(maySend(history, zero, false, true));
-    // One server is soon back, and its like are many.
+    // A single server is soon restarted, and there are many others.
     CHECK(maySend(history, zero + minute, false));
 }
 
-TEST_CASE("nobody is put off whose request is not to blame, as far as that is known")
+TEST_CASE("a request that is not the cause, as far as is known, is not refused")
 {
     SUBCASE("it had been streaming")
     {
@@ -138,7 +137,7 @@
         history.noteCrash({ 2 }, 11, 0, zero + minute);
         CHECK(maySend(history, zero + milliseconds(1), true));
     }
-    SUBCASE("more servers crashed at the same moment without it, and all news of that have come")
+    SUBCASE("more servers crashed at the same moment without it, and all updates about that have arrived")
     {
         auto history = crashedOnce();
         history.noteCrash({ 2 }, 11, 0, zero + milliseconds(900));
@@ -159,7 +158,7 @@
     }
 }
 
-TEST_CASE("the end of one other server at the same moment acquits no request")
+TEST_CASE("the crash of one other server at the same moment clears no request")
 {
     auto history = crashedOnce();
     history.noteCrash({ 2 }, 11, manyEvents, zero + milliseconds(29));
@@ -170,18 +169,18 @@
     }
 }
 
-TEST_CASE("a request whose server crashed beside many others is put off until news of its other calls would have come")
+TEST_CASE("a request whose server crashed beside many others is refused until updates about its other calls would have arrived")
 {
     constexpr milliseconds beside { 40 };
-    constexpr milliseconds newsTime { 500 };
+    constexpr milliseconds gossipTime { 500 };
     auto history = crashedOnce();
     CHECK_FALSE(history.undecidedUntil(suspect, zero));
     for (std::uint32_t server = 11; server < 15; ++server)
         history.noteCrash({ server }, server, 0, zero + beside);
-    const instant known = zero + beside + newsTime;
+    const instant known = zero + beside + gossipTime;
     CHECK((history.undecidedUntil(suspect, zero + beside) == known));
     CHECK_FALSE(maySend(history, known - milliseconds(1), true));
-    SUBCASE("none came")
+    SUBCASE("no update arrived")
     {
         CHECK(maySend(history, known, true));
         CHECK(history.whyLetThrough(suspect, known) == "more servers crashed at the same moment without it");
@@ -195,13 +194,13 @@
     }
 }
 
-TEST_CASE("copies that seven entry VMs hold through a closure crash no further server")
+TEST_CASE("copies that wait at seven entry VMs during a closure crash no further server")
 {
     constexpr std::size_t entries = 7;
     constexpr milliseconds step { 10 };
     constexpr milliseconds betweenCopies { 150 };
     constexpr milliseconds runsUntilCrash { 300 };
-    constexpr milliseconds newsTime { 50 };
+    constexpr milliseconds gossipTime { 50 };
     constexpr milliseconds closure { 4'000 };
     constexpr milliseconds patience { 2'000 };
     struct copy {
@@ -214,7 +213,7 @@
     std::vector<copy> running;
     instant closedUntil = zero;
     std::uint32_t crashes = 0;
-    std::vector<std::pair<instant, std::uint32_t>> news;
+    std::vector<std::pair<instant, std::uint32_t>> updates;
     for (instant now = zero; now < zero + milliseconds(30'000); now += step) {
         const auto sinceStart = now - zero;
         if (sinceStart % betweenCopies == duration::zero())
@@ -229,24 +228,24 @@
             if (now - each.sentAt < runsUntilCrash)
                 return false;
             histories[each.entry].noteCrash(suspect, ++crashes, 0, now);
-            news.emplace_back(now + newsTime, crashes);
+            updates.emplace_back(now + gossipTime, crashes);
             closedUntil = now + closure;
             return true;
         });
-        // What still ran as the group closed has not got as far as its first step.
+        // Copies that were still running as the group closed did not reach their first step.
         if (now < closedUntil)
             running.clear();
-        for (const auto& [at, server] : news) {
+        for (const auto& [at, server] : updates) {
             for (auto& history : histories) {
                 if (at == now)
-                    history.merge({ suspect, { { server, true } }, false }, newsTime, now);
+                    history.merge({ suspect, { { server, true } }, false }, gossipTime, now);
             }
         }
     }
     CHECK(crashes == 1);
 }
 
-TEST_CASE("all entry VMs that know each other pick the same one for a request")
+TEST_CASE("entry VMs that know each other agree on which of them makes the isolated attempts of a request")
 {
     const std::vector<std::string> hosts { "a", "b", "c", "d", "e" };
     int different = 0;
