--- a/Source/policy/engine_intake.cpp
+++ b/Source/policy/engine_intake.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-    // What the engine takes in this time may come at once.
+    // As many requests as the engine accepts in this time may come at once.
     constexpr double burstSeconds = 1;
     constexpr milliseconds leavingRetryAfter { 500 };
-    constexpr milliseconds shortestPause { 20 };
-    constexpr milliseconds longestPause { 10'000 };
-    // An entry VM that was not refused for so long has no use for the engine.
-    constexpr milliseconds refusedLife { 10'000 };
+    constexpr milliseconds minRetryDelay { 20 };
+    constexpr milliseconds maxRetryDelay { 10'000 };
+    // An entry VM that was not refused for so long is taken to have no requests for the engine.
+    constexpr milliseconds refusalLifetime { 10'000 };
 
 } // namespace
 
@@ -22,7 +22,7 @@
         m_tokens = token_bucket(0, now);
     m_perSecond = perSecond;
     if (!perSecond)
-        m_refused.clear();
+        m_refusedAt.clear();
 }
 
 void engine_intake::noteBackoff(milliseconds backoff, instant now)
@@ -35,7 +35,7 @@
     m_leaving = false;
     m_backoffUntil = {};
     m_perSecond.reset();
-    m_refused.clear();
+    m_refusedAt.clear();
 }
 
 result<void> engine_intake::enter(const std::string& entry, instant now)
@@ -48,19 +48,20 @@
         return boost::outcome_v2::success();
     m_tokens.fill(rate(), std::max(1.0, rate() * burstSeconds), now);
     if (m_tokens.tokens() < 1)
-        return notRun(failure_reason::server_limit, "the engine takes no more requests now", pauseFor(entry, now));
+        return notRun(failure_reason::server_limit, "the engine takes no more requests now", retryDelayFor(entry, now));
     m_tokens.take(1);
-    m_refused.erase(entry);
+    m_refusedAt.erase(entry);
     return boost::outcome_v2::success();
 }
 
-// Entry VMs that come back together would be refused together: each waits for its turn.
-milliseconds engine_intake::pauseFor(const std::string& entry, instant now)
+// Entry VMs that retried at the same moment would be refused again, so each gets a delay that grows with
+// the number of refused VMs.
+milliseconds engine_intake::retryDelayFor(const std::string& entry, instant now)
 {
-    std::erase_if(m_refused, [now](const auto& held) { return now - held.second >= refusedLife; });
-    m_refused[entry] = now;
-    const auto turn = milliseconds(static_cast<std::int64_t>(1'000 * static_cast<double>(m_refused.size()) / rate()));
-    return std::clamp(turn, shortestPause, longestPause);
+    std::erase_if(m_refusedAt, [now](const auto& refused) { return now - refused.second >= refusalLifetime; });
+    m_refusedAt[entry] = now;
+    const auto delay = milliseconds(static_cast<std::int64_t>(1'000 * static_cast<double>(m_refusedAt.size()) / rate()));
+    return std::clamp(delay, minRetryDelay, maxRetryDelay);
 }
 
 } // namespace rampgap
--- a/Source/policy/engine_intake.h
+++ b/Source/policy/engine_intake.h
@@ -1,4 +1,4 @@
-// How many requests an agent passes on to its engine: no more than the engine takes.
+// Limits the requests that an agent passes on to its engine to what the engine accepts.
 #pragma once
 
 #include "policy/server_backoffs.h"
@@ -12,32 +12,32 @@
 
 namespace rampgap {
 
-// Of an engine that asks for less than it gets; its agent is the only way to it, and counts for all
-// entry VMs.
+// Enforces the limit, the backoff and the shutdown that an engine announces. Its agent is the only way to
+// the engine and counts the requests of all entry VMs.
 class engine_intake {
 public:
-    // An answer of the engine named this limit in requests a second, or none.
+    // An answer of the engine named this limit in requests per second, or none.
     void noteLimit(std::optional<double> perSecond, instant now);
-    // It turned a request away and wants none for so long. What it asked for before is not cut short.
+    // The engine refused a request and asked for none during this time. Doesn't shorten an earlier backoff.
     void noteBackoff(milliseconds, instant now);
-    // It takes no new requests in this life. True if that is new.
+    // The engine takes no new requests in this incarnation. True if that was not known.
     bool noteLeaving() { return !std::exchange(m_leaving, true); }
-    // The engine was started again: nothing that it said holds any more.
+    // The engine was restarted: nothing that it announced applies any more.
     void forget();
-    // Takes one request of this entry VM in, or refuses it with the time after which it may come.
+    // Accepts a request of this entry VM, or refuses it with the time after which to retry.
     result<void> enter(const std::string& entry, instant now);
 
 private:
-    // Requests a second that it takes, where it has named a limit.
+    // Accepted requests per second. Requires that the engine has named a limit.
     double rate() const { return std::max(*m_perSecond, leastPerSecond); }
-    milliseconds pauseFor(const std::string& entry, instant now);
+    milliseconds retryDelayFor(const std::string& entry, instant now);
 
     std::optional<double> m_perSecond;
     instant m_backoffUntil {};
     bool m_leaving = false;
     token_bucket m_tokens;
     // When each entry VM was last refused.
-    std::map<std::string, instant> m_refused;
+    std::map<std::string, instant> m_refusedAt;
 };
 
 } // namespace rampgap
--- a/Source/policy/execution_guard.h
+++ b/Source/policy/execution_guard.h
@@ -1,5 +1,5 @@
-// All that an agent needs to run an id at most once: the guard of homes and the ledger,
-// and what agents tell each other about both.
+// Lets an agent run each request id at most once: combines the check that the agent owns an id with the
+// ledger of ids that have run, and exchanges both with other agents.
 #pragma once
 
 #include "policy/home_guard.h"
@@ -7,19 +7,19 @@
 
 namespace rampgap {
 
-// What an agent answers to another that asks for its standing and ids.
+// An agent's answer to another agent's query for its standing and its ids.
 struct handover_answer {
     agent_standing sender;
-    // True if `ids` are complete for the sender's revision.
+    // True if `ids` is complete for the sender's revision.
     bool vouches = false;
-    // The revision of a grant that this answer ends, if there was one.
+    // The revision of the grant that this answer ends, if there was one.
     std::optional<std::uint64_t> grantRevision;
     std::vector<std::uint64_t> ids;
 
     bool operator==(const handover_answer&) const = default;
 };
 
-// The ids that a leaving agent gives to one that keeps them.
+// The ids that a leaving agent hands to its standby.
 struct id_deposit {
     agent_standing owner;
     milliseconds grantLife { 0 };
@@ -34,25 +34,27 @@
 
     void apply(const declaration&, instant now);
 
-    // Claims an id for one run here. Empty: run it; an answer: it ran, send that.
+    // Claims an id for one run on this agent. Empty: run the request. An answer: it has run, send that.
     result<std::optional<stored_answer>> claim(const request_id&, std::uint64_t bodyDigest, instant now);
 
     handover_answer answerHandover(const agent_standing& asker, bool takeBack, instant now);
-    // Takes in the answer of another agent; true if it was a handover.
+    // Merges the answer of another agent. True if its ids were complete.
     bool takeHandover(const handover_answer&, instant now);
-    // Takes in the answer of the agent that kept our ids; true if the memory came back.
+    // Merges the answer of the standby that held this agent's ids. True if it ended a grant, so that this agent
+    // has all its ids back.
     bool takeMemoryBack(const handover_answer&, instant now);
 
-    // Ends new runs here. Empty if this agent cannot vouch for its ids.
-    std::optional<id_deposit> giveAway(instant now);
+    // Ends new runs on this agent and returns its ids for a standby. Empty if they may be incomplete.
+    std::optional<id_deposit> handOff(instant now);
+    // Accepts the ids of a leaving agent as its standby. False if this agent may not.
     bool takeDeposit(const id_deposit&, instant now);
 
-    home_guard& homes() { return m_homes; }
-    const home_guard& homes() const { return m_homes; }
+    home_guard& ownership() { return m_ownership; }
+    const home_guard& ownership() const { return m_ownership; }
     request_ledger& ledger() { return m_ledger; }
 
 private:
-    home_guard m_homes;
+    home_guard m_ownership;
     request_ledger m_ledger;
     milliseconds m_idLife { 0 };
 };
--- a/Source/policy/grant_office.cpp
+++ b/Source/policy/grant_office.cpp
@@ -6,71 +6,71 @@
 
 namespace {
 
-    // Grants are used at any moment of their life, so a window sees those of a longer one.
-    constexpr double caution = 0.9;
-    // What a server takes in this time can be granted at once.
+    // A grant is used at any moment of its lifetime, so that a window of time may also see requests of grants from before it.
+    constexpr double safetyFactor = 0.9;
+    // As many requests as a server accepts in this time can be granted at once.
     constexpr double burstSeconds = 1;
-    // One for whoever comes, and one that is kept for the more urgent.
-    constexpr double leastBurst = 2;
+    // One token for any requester and one that is reserved for the more urgent.
+    constexpr double minBurst = 2;
     constexpr double urgentReserve = 1;
-    // Questions a second that an arbiter wants of all askers for all its servers.
+    // Questions per second that an arbiter is to get from all requesters for all its servers.
     constexpr double questionsPerSecond = 8;
-    constexpr milliseconds shortestPause { 100 };
-    constexpr milliseconds longestPause { 20'000 };
-    // Who has not asked for so long has no use for the server.
-    constexpr milliseconds askerLife { 30'000 };
-    // VMs that were there such a while ago may be cut off and sending all the same.
+    constexpr milliseconds minAskAgainDelay { 100 };
+    constexpr milliseconds maxAskAgainDelay { 20'000 };
+    // A requester that has not asked for so long is taken to have no requests for the server.
+    constexpr milliseconds requesterLifetime { 30'000 };
+    // Entry VMs that were known this long ago may be cut off and still be sending.
     constexpr milliseconds fleetMemory { 30'000 };
-    constexpr milliseconds deniedLife { 2'000 };
+    constexpr milliseconds denialLifetime { 2'000 };
 
 } // namespace
 
 void grant_office::noteFleet(std::size_t entries, instant now)
 {
     m_entries = entries;
-    if (entries < m_mostEntries && now - m_mostSeenAt < fleetMemory)
+    if (entries < m_maxEntries && now - m_maxSeenAt < fleetMemory)
         return;
-    m_mostEntries = entries;
-    m_mostSeenAt = now;
+    m_maxEntries = entries;
+    m_maxSeenAt = now;
 }
 
-// Of a fleet in parts each has an arbiter of its own, and their grants add up.
-double grant_office::part() const
+// In a partitioned fleet each part has an arbiter of its own, and their grants add up.
+double grant_office::visibleFraction() const
 {
-    return static_cast<double>(m_entries) / static_cast<double>(m_mostEntries);
+    return static_cast<double>(m_entries) / static_cast<double>(m_maxEntries);
 }
 
-milliseconds grant_office::pause(instant now)
+milliseconds grant_office::askAgainDelay(instant now)
 {
     std::size_t pairs = 0;
-    for (auto& [server, held] : m_buckets) {
-        std::erase_if(held.askers, [now](const auto& asker) { return now - asker.second >= askerLife; });
-        pairs += held.askers.size();
+    for (auto& [server, entry] : m_buckets) {
+        std::erase_if(entry.requesters, [now](const auto& requester) { return now - requester.second >= requesterLifetime; });
+        pairs += entry.requesters.size();
     }
-    std::erase_if(m_buckets, [](const auto& held) { return held.second.askers.empty(); });
-    const auto fair = milliseconds(static_cast<std::int64_t>(1'000 * static_cast<double>(pairs) / questionsPerSecond));
-    return std::clamp(fair, shortestPause, longestPause);
+    std::erase_if(m_buckets, [](const auto& entry) { return entry.second.requesters.empty(); });
+    const auto delay = milliseconds(static_cast<std::int64_t>(1'000 * static_cast<double>(pairs) / questionsPerSecond));
+    return std::clamp(delay, minAskAgainDelay, maxAskAgainDelay);
 }
 
-bool grant_office::moreUrgentDenied(const bucket& held, int priority, instant now)
+bool grant_office::moreUrgentDenied(const bucket& entry, int priority, instant now)
 {
-    const auto end = held.denied.lower_bound(priority);
-    return std::any_of(held.denied.begin(), end, [now](const auto& each) { return now - each.second < deniedLife; });
+    const auto end = entry.deniedAt.lower_bound(priority);
+    return std::any_of(entry.deniedAt.begin(), end, [now](const auto& denial) { return now - denial.second < denialLifetime; });
 }
 
-// A bucket begins empty: its server may have had another arbiter a moment ago.
-grant_answer grant_office::answer(const std::string& asker, const grant_question& question, double perSecond, instant now)
+// A bucket starts empty: the server may have had another arbiter a moment ago.
+grant_answer grant_office::answer(const std::string& requester, const grant_question& question, double perSecond, instant now)
 {
-    const double rate = std::max(caution * perSecond, leastPerSecond) * part();
-    auto& held = m_buckets.try_emplace(question.server, bucket { token_bucket(0, now), {}, {} }).first->second;
-    held.tokens.fill(rate, std::max(leastBurst, rate * burstSeconds), now);
-    held.askers[asker] = now;
-    const double reserve = moreUrgentDenied(held, question.priority, now) ? urgentReserve : 0;
-    const int granted = std::clamp(static_cast<int>(held.tokens.tokens() - reserve), 0, std::max(0, question.wanted));
-    held.tokens.take(granted);
+    const double rate = std::max(safetyFactor * perSecond, leastPerSecond) * visibleFraction();
+    auto& entry = m_buckets.try_emplace(question.server, bucket { token_bucket(0, now), {}, {} }).first->second;
+    entry.tokens.fill(rate, std::max(minBurst, rate * burstSeconds), now);
+    entry.requesters[requester] = now;
+    const double reserve = moreUrgentDenied(entry, question.priority, now) ? urgentReserve : 0;
+    const int granted = std::clamp(static_cast<int>(entry.tokens.tokens() - reserve), 0, std::max(0, question.wanted));
+    entry.tokens.take(granted);
     if (granted == 0)
-        held.denied[question.priority] = now;
-    return { question.server, granted, pause(now) };
+        entry.deniedAt[question.priority] = now;
+    return { question.server, granted, askAgainDelay(now) };
 }
 
 } // namespace rampgap
--- a/Source/policy/grant_office.h
+++ b/Source/policy/grant_office.h
@@ -1,4 +1,4 @@
-// Grants of the arbiter of servers' limits: the one entry VM that all others ask for a server.
+// Grants requests to servers with a limit. One entry VM is the arbiter of a server, and all others ask it for grants.
 #pragma once
 
 #include "policy/server_limits.h"
@@ -8,29 +8,29 @@
 
 class grant_office {
 public:
-    // Entry VMs that this one knows, itself included.
+    // `entries`: the number of entry VMs that this one knows, itself included.
     void noteFleet(std::size_t entries, instant now);
-    // `perSecond`: the limit that the server named.
-    grant_answer answer(const std::string& asker, const grant_question&, double perSecond, instant now);
+    // Answers a question for grants. `perSecond`: the limit that the server named.
+    grant_answer answer(const std::string& requester, const grant_question&, double perSecond, instant now);
 
 private:
-    // What one server takes.
+    // Tokens and requesters of one server.
     struct bucket {
         token_bucket tokens;
-        std::map<std::string, instant> askers;
-        // When a question of this priority was last left without a grant.
-        std::map<int, instant> denied;
+        std::map<std::string, instant> requesters;
+        // When a question of each priority was last answered without a grant.
+        std::map<int, instant> deniedAt;
     };
 
-    // Of the fleet, the part that this VM sees.
-    double part() const;
-    milliseconds pause(instant now);
+    // The fraction of the fleet that this VM knows of.
+    double visibleFraction() const;
+    milliseconds askAgainDelay(instant now);
     static bool moreUrgentDenied(const bucket&, int priority, instant now);
 
     std::map<server_hash, bucket> m_buckets;
     std::size_t m_entries = 1;
-    std::size_t m_mostEntries = 1;
-    instant m_mostSeenAt {};
+    std::size_t m_maxEntries = 1;
+    instant m_maxSeenAt {};
 };
 
 } // namespace rampgap
--- a/Source/policy/instant.h
+++ b/Source/policy/instant.h
@@ -1,12 +1,12 @@
-// Moments and spans of time, as all decisions take them.
+// Types for points in time and durations, as all decisions use them.
 #pragma once
 
 #include <chrono>
 
 namespace rampgap {
 
-// Time since the VM's start. Unlike the steady clock it goes on while the VM is suspended: a
-// lease, a deadline or the age of a reading must not stand still meanwhile.
+// Time since the VM booted. Unlike the steady clock it goes on while the VM is suspended: a lease,
+// a deadline or the age of a reading must not stop in the meantime.
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -14,7 +14,7 @@
     using time_point = std::chrono::time_point<boot_clock>;
     static constexpr bool is_steady = true;
 
-    // For processes; a decision is handed the moment that it is made at.
+    // Only for processes; a decision gets the current time as a parameter.
     static time_point now() noexcept;
 };
 
--- a/Source/policy/pause_detector.cpp
+++ b/Source/policy/pause_detector.cpp
@@ -8,9 +8,9 @@
 {
 }
 
-bool pause_detector::look(instant now, wall_instant wall)
+bool pause_detector::check(instant now, wall_instant wall)
 {
-    const bool paused = now - m_last > longestGap || wall - m_lastWall > longestGap;
+    const bool paused = now - m_last > pauseThreshold || wall - m_lastWall > pauseThreshold;
     m_last = now;
     m_lastWall = wall;
     if (paused)
--- a/Source/policy/pause_detector.h
+++ b/Source/policy/pause_detector.h
@@ -1,12 +1,12 @@
-// Finds out that the process did not run for a while: stopped, or its VM paused.
+// Detects that the process did not run for a while, since it was stopped or its VM was paused.
 #pragma once
 
 #include "policy/verdict.h"
 
 namespace rampgap {
 
-// A gap between two looks longer than this counts as a pause.
-inline constexpr milliseconds longestGap { 1'000 };
+// A longer gap between two checks counts as a pause.
+inline constexpr milliseconds pauseThreshold { 1'000 };
 
 class pause_detector {
 public:
@@ -14,13 +14,13 @@
 
     pause_detector(instant now, wall_instant wall);
 
-    // True if the process was paused since the last look. Either clock may show it: the
-    // steady clock of a paused VM can stand still while the wall clock is set on waking.
-    bool look(instant now, wall_instant wall);
-    // How many pauses were found; requests of an earlier epoch may be old.
+    // True if the process was paused since the last check. Either clock may show it: the clock of a paused
+    // VM can stop, while its wall clock is set as it resumes.
+    bool check(instant now, wall_instant wall);
+    // The number of pauses so far. A request that was read in an earlier epoch may be stale.
     std::uint64_t epoch() const { return m_epoch; }
-    // Something outside showed a pause that the own clocks did not.
-    void notePause() { ++m_epoch; }
+    // Records a pause that only another process could see, not the clocks of this one.
+    void recordPause() { ++m_epoch; }
 
 private:
     instant m_last;
--- a/Source/policy/permit_office.cpp
+++ b/Source/policy/permit_office.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    constexpr milliseconds renewAtOnce { 0 };
+    constexpr milliseconds retryAtOnce { 0 };
 
     failure stale(std::string message)
     {
-        return notRun(failure_reason::stale_permit, std::move(message), renewAtOnce);
+        return notRun(failure_reason::stale_permit, std::move(message), retryAtOnce);
     }
 
 } // namespace
@@ -31,16 +31,16 @@
 {
     std::uint64_t incarnation = 0;
     const char* const end = permit.data() + permit.size();
-    const auto first = std::from_chars(permit.data(), end, incarnation);
-    if (first.ec != std::errc() || first.ptr == end || *first.ptr != '.')
+    const auto incarnationParsed = std::from_chars(permit.data(), end, incarnation);
+    if (incarnationParsed.ec != std::errc() || incarnationParsed.ptr == end || *incarnationParsed.ptr != '.')
         return stale("no permit");
     std::int64_t issued = 0;
-    const auto second = std::from_chars(first.ptr + 1, end, issued);
-    if (second.ec != std::errc() || second.ptr != end)
+    const auto issuedParsed = std::from_chars(incarnationParsed.ptr + 1, end, issued);
+    if (issuedParsed.ec != std::errc() || issuedParsed.ptr != end)
         return stale("malformed permit");
-    // No sign of a pause of the entry VM: this agent restarted.
+    // The agent restarted, which doesn't mean that the entry VM was paused.
     if (incarnation != m_incarnation)
-        return notRun(failure_reason::not_ready, "the permit is of an earlier start of this agent", renewAtOnce);
+        return notRun(failure_reason::not_ready, "the permit is of an earlier start of this agent", retryAtOnce);
     const auto age = std::chrono::duration_cast<milliseconds>(now - m_startedAt) - milliseconds(issued);
     if (age < milliseconds(0) || age > permitLife)
         return stale("the permit is too old");
--- a/Source/policy/permit_office.h
+++ b/Source/policy/permit_office.h
@@ -1,4 +1,4 @@
-// Permits: an agent's proof, on its own clock, that an entry VM was awake a moment ago.
+// Permits: they show an agent, by its own clock, that the entry VM that sends a request was running a moment ago.
 #pragma once
 
 #include "policy/verdict.h"
@@ -8,9 +8,9 @@
 
 namespace rampgap {
 
-// How long a permit is good, on the issuing agent's clock.
+// How long a permit is valid, by the issuing agent's clock.
 inline constexpr milliseconds permitLife { 4'000 };
-// An entry VM asks for a new permit when its own is older than this.
+// An entry VM asks for a new permit when its current one is older than this.
 inline constexpr milliseconds permitRenewal { 1'500 };
 
 // Issues and checks permits of one agent incarnation.
@@ -19,7 +19,7 @@
     permit_office(std::uint64_t incarnation, instant startedAt);
 
     std::string issue(instant now) const;
-    // Fails with `stale_permit` past its life, with `not_ready` for an earlier incarnation.
+    // Fails with `stale_permit` once the permit has expired, with `not_ready` if it is of an earlier incarnation.
     result<void> check(std::string_view permit, instant now) const;
 
 private:
--- a/Source/policy/rate_limiter.cpp
+++ b/Source/policy/rate_limiter.cpp
@@ -20,25 +20,25 @@
 
 result<void> rate_limiter::enter(const workspace_declaration& workspace, instant now)
 {
-    bucket& own = m_buckets[workspace.name];
+    bucket& limits = m_buckets[workspace.name];
     const double rate = workspace.requestsPerSecond * m_share;
     if (workspace.concurrent > 0) {
         const int allowed = std::max(1, static_cast<int>(std::ceil(workspace.concurrent * m_share)));
-        if (own.running >= allowed)
+        if (limits.running >= allowed)
             return notRun(failure_reason::rate_limited, "the workspace runs as many requests as it may", concurrencyRetryAfter);
     }
     if (rate > 0) {
         const double capacity = std::max(1.0, rate * burstSeconds);
-        if (!own.tokens)
-            own.tokens = token_bucket(capacity, now);
-        own.tokens->fill(rate, capacity, now);
-        if (own.tokens->tokens() < 1) {
-            const auto wait = milliseconds(static_cast<std::int64_t>(std::ceil((1 - own.tokens->tokens()) / rate * 1000)));
+        if (!limits.tokens)
+            limits.tokens = token_bucket(capacity, now);
+        limits.tokens->fill(rate, capacity, now);
+        if (limits.tokens->tokens() < 1) {
+            const auto wait = milliseconds(static_cast<std::int64_t>(std::ceil((1 - limits.tokens->tokens()) / rate * 1000)));
             return notRun(failure_reason::rate_limited, "the workspace exceeds its rate", wait);
         }
-        own.tokens->take(1);
+        limits.tokens->take(1);
     }
-    ++own.running;
+    ++limits.running;
     return boost::outcome_v2::success();
 }
 
--- a/Source/policy/rate_limiter.h
+++ b/Source/policy/rate_limiter.h
@@ -1,4 +1,4 @@
-// Rate and concurrency limits of workspaces at one entry VM, without a shared store.
+// Enforces the rate and concurrency limits of workspaces at one entry VM, without a shared store.
 #pragma once
 
 #include "policy/declaration.h"
@@ -17,8 +17,9 @@
     // `share` in (0, 1]: this entry VM's part of the fleet's traffic.
     void setShare(double share);
 
-    // Takes a place for one request or refuses it with the time until a token is there.
+    // Admits one request, or refuses it with the time after which to retry.
     result<void> enter(const workspace_declaration&, instant now);
+    // An admitted request ended.
     void leave(const std::string& workspace);
 
 private:
--- a/Source/policy/request_fingerprint.cpp
+++ b/Source/policy/request_fingerprint.cpp
@@ -7,7 +7,8 @@
 
 namespace rampgap {
 
-// Each part's hash seeds the next, so that no character can move from one part to another.
+// The hash of each part seeds that of the next, so that moving a character from one part to the next
+// changes the result.
 request_fingerprint fingerprintOf(std::string_view method, std::string_view target, std::string_view caller, std::string_view body)
 {
     std::uint64_t hash = 0;
--- a/Source/policy/request_fingerprint.h
+++ b/Source/policy/request_fingerprint.h
@@ -1,4 +1,4 @@
-// Tells whether two requests are the same: a caller that comes back has a new id each time.
+// Recognises a repeated request, which has a new id each time.
 #pragma once
 
 #include <compare>
@@ -15,12 +15,12 @@
     auto operator<=>(const request_fingerprint&) const = default;
 };
 
-// Of what does not change when the same caller sends the same request again.
+// Hashes what stays the same when the same caller sends the same request again.
 request_fingerprint fingerprintOf(std::string_view method, std::string_view target, std::string_view caller, std::string_view body);
 
-// As 16 hexadecimal digits; tells nothing of the caller's key.
+// 16 hexadecimal digits, which reveal nothing about the caller's key.
 std::string toString(request_fingerprint);
-// Empty if the text is not one.
+// Empty if the text is not a fingerprint.
 std::optional<request_fingerprint> parseFingerprint(std::string_view);
 
 } // namespace rampgap
--- a/Source/policy/request_id.h
+++ b/Source/policy/request_id.h
@@ -7,7 +7,7 @@
 
 namespace rampgap {
 
-// Scoped by workspace and service, so that callers cannot meet each other's ids.
+// Scoped by workspace and service, so that ids of different callers cannot collide.
 struct request_id {
     std::string workspace;
     std::string service;
--- a/Source/policy/request_ledger.cpp
+++ b/Source/policy/request_ledger.cpp
@@ -25,20 +25,20 @@
     const std::uint64_t hash = id.hash();
     const auto found = m_records.find(hash);
     if (found != m_records.end()) {
-        const record& known = found->second;
-        if (known.state == phase::inherited)
-            return alreadyRan(verdict::may_have_run, "this id was taken by another backend server");
-        if (known.bodyDigest != bodyDigest)
+        const record& existing = found->second;
+        if (existing.state == phase::inherited)
+            return alreadyRan(verdict::may_have_run, "another backend server has run this id");
+        if (existing.bodyDigest != bodyDigest)
             return notRun(failure_reason::key_reused, "this id was used with another body");
-        if (known.state == phase::running)
+        if (existing.state == phase::running)
             return alreadyRan(verdict::may_have_run, "this id is running", runningRetryAfter);
-        if (known.answer)
-            return known.answer;
+        if (existing.answer)
+            return existing.answer;
         return alreadyRan(verdict::ran, "this id has already run and its answer is no longer kept");
     }
-    // A full ledger refuses: to forget an id within its life could run it twice.
+    // A full ledger refuses new ids: if it dropped an id within its lifetime, that could run twice.
     if (m_records.size() >= m_limits.maxIds)
-        return notRun(failure_reason::queue_full, "too many ids within their life", fullRetryAfter);
+        return notRun(failure_reason::queue_full, "too many ids within their lifetime", fullRetryAfter);
     record& added = m_records[hash];
     added.bodyDigest = bodyDigest;
     touch(hash, added, now);
@@ -79,19 +79,19 @@
 void request_ledger::inherit(const std::vector<std::uint64_t>& hashes, instant now)
 {
     for (const std::uint64_t hash : hashes) {
-        const auto [place, added] = m_records.try_emplace(hash);
+        const auto [position, added] = m_records.try_emplace(hash);
         if (!added)
             continue;
-        place->second.state = phase::inherited;
-        touch(hash, place->second, now);
+        position->second.state = phase::inherited;
+        touch(hash, position->second, now);
     }
 }
 
 std::vector<std::uint64_t> request_ledger::liveIds(instant now) const
 {
     std::vector<std::uint64_t> hashes;
-    for (const auto& [hash, known] : m_records) {
-        if (known.state == phase::running || now - known.touched < m_limits.idLife)
+    for (const auto& [hash, existing] : m_records) {
+        if (existing.state == phase::running || now - existing.touched < m_limits.idLife)
             hashes.push_back(hash);
     }
     return hashes;
@@ -105,9 +105,9 @@
     return found->second.state == phase::running || now - found->second.touched < m_limits.idLife;
 }
 
-void request_ledger::touch(std::uint64_t hash, record& known, instant now)
+void request_ledger::touch(std::uint64_t hash, record& existing, instant now)
 {
-    known.touched = now;
+    existing.touched = now;
     m_expiries.push_back({ hash, now });
 }
 
@@ -117,7 +117,7 @@
         const expiry oldest = m_expiries.front();
         m_expiries.pop_front();
         const auto found = m_records.find(oldest.hash);
-        // A record touched later has a later place in the queue as well.
+        // A record that was touched later has another entry further back in the queue.
         if (found == m_records.end() || found->second.touched != oldest.touched)
             continue;
         if (found->second.state == phase::running) {
--- a/Source/policy/request_ledger.h
+++ b/Source/policy/request_ledger.h
@@ -1,4 +1,4 @@
-// What an agent remembers of the ids that it has run: the base of "at most once".
+// Remembers the ids that an agent has run, so that each runs at most once.
 #pragma once
 
 #include "policy/request_id.h"
@@ -10,7 +10,7 @@
 
 namespace rampgap {
 
-// A finished answer kept for a repeat of its id.
+// The answer of a finished request, kept in case its id is sent again.
 struct stored_answer {
     int status = 0;
     std::string contentType;
@@ -27,25 +27,25 @@
     bool operator==(const ledger_limits&) const = default;
 };
 
-// Ids in memory, each for `idLife` after its last change; answers while they fit.
+// Keeps ids in memory, each for `idLife` after its last change, and answers as long as they fit.
 class request_ledger {
 public:
     explicit request_ledger(ledger_limits);
 
-    // Claims an id for one run. Empty: run it. An answer: send that. A failure: refuse.
+    // Claims an id for one run. Empty: run the request. An answer: send that. A failure: refuse the request.
     result<std::optional<stored_answer>> claim(const request_id&, std::uint64_t bodyDigest, instant now);
     // The claimed request was refused before it ran; its id is free again.
     void release(const request_id&);
-    // The run ended and its answer is whole.
+    // The run ended with a complete answer.
     void finish(const request_id&, stored_answer, instant now);
-    // The run ended in a way that leaves no answer to repeat.
+    // The run ended without an answer that could be repeated.
     void finishWithoutAnswer(const request_id&, instant now);
 
-    // Marks ids that another agent has run as seen, without an answer.
+    // Adds ids that another agent has run, without their answers.
     void inherit(const std::vector<std::uint64_t>& hashes, instant now);
-    // Hashes of all ids within their life.
+    // Hashes of all ids within their lifetime.
     std::vector<std::uint64_t> liveIds(instant now) const;
-    // True if the id is known and within its life.
+    // True if the id is known and within its lifetime.
     bool knows(const request_id&, instant now) const;
 
     void setIdLife(milliseconds life) { m_limits.idLife = life; }
--- a/Source/policy/retry_budget.cpp
+++ b/Source/policy/retry_budget.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-    // A few retries are free after a start; the cap bounds the burst after a calm.
-    constexpr double startTokens = 3;
+    // A few retries are allowed right after a start; the maximum bounds the burst after a time without retries.
+    constexpr double initialTokens = 3;
     constexpr double maxTokens = 20;
     constexpr double percentBase = 100;
 
 } // namespace
 
 retry_budget::retry_budget(int percent)
-    : m_share(percent / percentBase)
-    , m_tokens(startTokens)
+    : m_tokensPerRequest(percent / percentBase)
+    , m_tokens(initialTokens)
 {
 }
 
 void retry_budget::noteRequest()
 {
-    m_tokens = std::min(maxTokens, m_tokens + m_share);
+    m_tokens = std::min(maxTokens, m_tokens + m_tokensPerRequest);
 }
 
-bool retry_budget::take()
+bool retry_budget::tryConsume()
 {
     if (m_tokens < 1)
         return false;
--- a/Source/policy/retry_budget.h
+++ b/Source/policy/retry_budget.h
@@ -1,20 +1,20 @@
-// Bounds retries to a share of recent requests, so that an outage is not amplified.
+// Bounds retries to a fraction of recent requests, so that retries do not amplify an outage.
 #pragma once
 
 namespace rampgap {
 
-// Each new request adds `percent`/100 of a token; each retry takes one.
+// Each new request adds `percent`/100 of a token, and each retry consumes one.
 class retry_budget {
 public:
     explicit retry_budget(int percent);
 
     void noteRequest();
-    // False when the budget is spent; takes a token otherwise.
-    bool take();
+    // Consumes a token; false if there is none.
+    bool tryConsume();
     double tokens() const { return m_tokens; }
 
 private:
-    double m_share;
+    double m_tokensPerRequest;
     double m_tokens;
 };
 
--- a/Source/policy/retry_policy.cpp
+++ b/Source/policy/retry_policy.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-    bool isSafe(const retry_question& question)
+    bool isSafe(const retry_question& input)
     {
-        if (question.answerStarted)
+        if (input.answerStarted)
             return false;
-        return question.last.ran == verdict::not_run || question.repeatable;
+        return input.last.ran == verdict::not_run || input.repeatable;
     }
 
-    // Reasons that another backend would only repeat.
+    // True if another backend would fail for the same reason.
     bool isFinal(failure_reason reason)
     {
         switch (reason) {
@@ -32,13 +32,13 @@
 
 } // namespace
 
-bool mayRetry(const retry_question& question, retry_budget& budget)
+bool mayRetry(const retry_question& input, retry_budget& budget)
 {
-    if (!isSafe(question) || isFinal(question.last.reason))
+    if (!isSafe(input) || isFinal(input.last.reason))
         return false;
-    if (!question.otherBackendLeft || question.triesMade >= maxTries || question.now >= question.deadline)
+    if (!input.otherBackendLeft || input.attemptsMade >= maxTries || input.now >= input.deadline)
         return false;
-    return budget.take();
+    return budget.tryConsume();
 }
 
 } // namespace rampgap
--- a/Source/policy/retry_policy.h
+++ b/Source/policy/retry_policy.h
@@ -1,4 +1,4 @@
-// Decides whether a failed try may be followed by another.
+// Decides whether a failed attempt may be retried.
 #pragma once
 
 #include "policy/retry_budget.h"
@@ -6,20 +6,20 @@
 
 namespace rampgap {
 
-// What the decision depends on.
+// Input of the decision.
 struct retry_question {
     failure last;
     bool repeatable = true;
     bool answerStarted = false;
     bool otherBackendLeft = false;
-    int triesMade = 1;
+    int attemptsMade = 1;
     instant deadline;
     instant now;
 };
 
 inline constexpr int maxTries = 3;
 
-// True if another try is safe, useful and within the budget; takes from the budget.
+// True if a retry is safe, useful and within the budget; it then consumes a token of the budget.
 bool mayRetry(const retry_question&, retry_budget&);
 
 } // namespace rampgap
--- a/Source/policy/server_backoffs.cpp
+++ b/Source/policy/server_backoffs.cpp
@@ -6,40 +6,40 @@
 
 namespace {
 
-    // A first request that is not answered for so long says nothing of the backoff.
-    constexpr milliseconds trialLife { 500 };
+    // If the first request is not answered within this time, another one is sent.
+    constexpr milliseconds firstRequestTimeout { 500 };
 
 } // namespace
 
-void server_backoffs::noteAsked(server_hash server, milliseconds asked, instant now)
+void server_backoffs::noteAsked(server_hash server, milliseconds requested, instant now)
 {
-    auto& held = m_backoffs[server];
-    held.until = std::max(held.until, now + std::min(asked, longestBackoff));
-    held.triedAt.reset();
+    auto& entry = m_backoffs[server];
+    entry.until = std::max(entry.until, now + std::min(requested, longestBackoff));
+    entry.firstSentAt.reset();
 }
 
 // An answer to a request from before the backoff does not end it.
 void server_backoffs::noteAnswered(server_hash server, instant now)
 {
-    const auto held = m_backoffs.find(server);
-    if (held != m_backoffs.end() && now >= held->second.until)
-        m_backoffs.erase(held);
+    const auto entry = m_backoffs.find(server);
+    if (entry != m_backoffs.end() && now >= entry->second.until)
+        m_backoffs.erase(entry);
 }
 
-void server_backoffs::use(server_hash server, instant now)
+void server_backoffs::recordSent(server_hash server, instant now)
 {
-    const auto held = m_backoffs.find(server);
-    if (held != m_backoffs.end())
-        held->second.triedAt = now;
+    const auto entry = m_backoffs.find(server);
+    if (entry != m_backoffs.end())
+        entry->second.firstSentAt = now;
 }
 
 duration server_backoffs::remaining(server_hash server, instant now) const
 {
-    const auto held = m_backoffs.find(server);
-    if (held == m_backoffs.end())
+    const auto entry = m_backoffs.find(server);
+    if (entry == m_backoffs.end())
         return duration(0);
-    const instant tried = held->second.triedAt ? *held->second.triedAt + trialLife : now;
-    return std::max(held->second.until, tried) - now;
+    const instant firstRequestEnd = entry->second.firstSentAt ? *entry->second.firstSentAt + firstRequestTimeout : now;
+    return std::max(entry->second.until, firstRequestEnd) - now;
 }
 
 std::optional<milliseconds> server_backoffs::untilFirst(const std::vector<server_hash>& servers, instant now) const
--- a/Source/policy/server_backoffs.h
+++ b/Source/policy/server_backoffs.h
@@ -1,39 +1,40 @@
-// Servers that turned this process away and asked it to back off.
+// Servers that refused a request of this process and asked it to back off.
 #pragma once
 
 #include "policy/server_limits.h"
 
 namespace rampgap {
 
-// A server that asks for more is asked again after this.
+// Upper bound of a backoff, whatever the server asks for.
 inline constexpr milliseconds longestBackoff = std::chrono::hours(24);
 
-// While a backoff lasts this process sends it nothing. After that one request goes there first, and
-// others once its answer asks for no more of it.
+// While a server's backoff lasts, this process sends it nothing. After that it sends one request first,
+// and others once that is answered without asking for another backoff.
 class server_backoffs {
 public:
-    // It asked to back off for so long from now on. What it asked for before is not cut short.
+    // The server asked to back off for this time from now on. Doesn't shorten an earlier backoff.
     void noteAsked(server_hash, milliseconds backoff, instant now);
-    // It answered without asking for it.
+    // The server answered without asking to back off.
     void noteAnswered(server_hash, instant now);
-    // The server was started again: nothing that it said holds any more.
+    // The server was restarted: what it asked for does not apply any more.
     void forget(server_hash server) { m_backoffs.erase(server); }
-    // A request is sent to it now.
-    void use(server_hash, instant now);
+    // A request is sent to the server now.
+    void recordSent(server_hash, instant now);
 
-    // True if any server has asked to back off, as far as is remembered.
+    // True if any backoff is stored, even one that is over.
     bool any() const { return !m_backoffs.empty(); }
     bool maySend(server_hash server, instant now) const { return remaining(server, now) <= duration(0); }
-    // Until a request may be sent to it; 0 or less: now.
+    // Time until a request may be sent to the server; 0 or less: it may be sent now.
     duration remaining(server_hash, instant now) const;
-    // Until the first of these servers is back; empty if one of them, or none at all, may be sent to now.
+    // Time until the first of these servers may be sent a request; empty if one of them may be now, or if the
+    // list is empty.
     std::optional<milliseconds> untilFirst(const std::vector<server_hash>&, instant now) const;
 
 private:
     struct backoff {
         instant until;
-        // Of the first request after it, while that is not answered.
-        std::optional<instant> triedAt;
+        // When the first request after the backoff was sent; empty if there is none, or it was answered.
+        std::optional<instant> firstSentAt;
     };
 
     std::map<server_hash, backoff> m_backoffs;
--- a/Source/policy/server_backpressure.h
+++ b/Source/policy/server_backpressure.h
@@ -1,4 +1,4 @@
-// What servers ask of whoever sends to them, besides what the list says of them.
+// What servers themselves ask of the processes that send to them: limits and backoffs.
 #pragma once
 
 #include "policy/server_backoffs.h"
@@ -10,17 +10,17 @@
     server_limits limits;
     server_backoffs backoffs;
 
-    // A request of this priority may be sent to the server now.
+    // True if a request of this priority may be sent to the server now.
     bool maySend(server_hash server, int priority, instant now) const { return backoffs.maySend(server, now) && limits.maySend(server, priority, now); }
 
-    // A request is sent to it now.
-    void use(server_hash server, instant now)
+    // A request is sent to the server now.
+    void recordSent(server_hash server, instant now)
     {
-        limits.use(server, now);
-        backoffs.use(server, now);
+        limits.useGrant(server, now);
+        backoffs.recordSent(server, now);
     }
 
-    // The server was started again: nothing that it said holds any more.
+    // The server was restarted: what it asked for does not apply any more.
     void forget(server_hash server, instant now)
     {
         limits.forget(server, now);
--- a/Source/policy/server_limits.h
+++ b/Source/policy/server_limits.h
@@ -1,4 +1,4 @@
-// Which servers limit the requests that they take, and the grants of this process to send to them.
+// Which servers limit the rate of their requests, and the grants of this process to send to them.
 #pragma once
 
 #include "policy/verdict.h"
@@ -18,9 +18,9 @@
 // backendHash of a server's id.
 using server_hash = std::uint32_t;
 
-// What a server last said about its limit.
+// The limit that a server reported last.
 struct limit_word {
-    // Requests a second from all entry VMs together; empty: it names no limit any more.
+    // Requests per second from all entry VMs together; empty: the server has no limit any more.
     std::optional<double> perSecond;
     instant saidAt;
 
@@ -33,7 +33,7 @@
 struct grant_question {
     server_hash server = 0;
     int wanted = 1;
-    // Of the most urgent request that wants one; 0 is first.
+    // Priority of the most urgent request that needs a grant; 0 is the most urgent.
     int priority = 0;
 
     bool operator==(const grant_question&) const = default;
@@ -43,46 +43,47 @@
     server_hash server = 0;
     // Requests that may be sent within `grantLife`.
     int granted = 0;
-    // Asking sooner is of no use.
+    // Time after which to ask again; a question before that gets no grants.
     milliseconds askAgain { 0 };
 
     bool operator==(const grant_answer&) const = default;
 };
 
-// A lower limit is kept as this one: somebody has to find out that it has ended.
+// A lower limit is raised to this one: only further requests can show that the limit has ended.
 inline constexpr double leastPerSecond = 0.1;
-// A grant that is not used by then is void, so that no process keeps what it has no use for.
+// A grant expires after this time, so that no process keeps grants that it has no requests for.
 inline constexpr milliseconds grantLife { 1'000 };
 
-// A server with a limit gets a request only from who has a grant for it. Grants come from one
-// entry VM, the server's arbiter, so that they keep within the limit whoever asks.
+// A process sends a request to a server with a limit only if it has a grant for it. All grants come from
+// one entry VM, the server's arbiter, so that together they stay within the limit.
 class server_limits {
 public:
-    // An answer of the server named this limit, or none.
+    // An answer of the server reported this limit, or none.
     void noteAnswer(server_hash, std::optional<double> perSecond, instant now);
-    // A peer heard this word. Ignored if a newer one is known.
-    void noteTold(server_hash, limit_word, instant now);
-    // The server was started again: nothing that it said holds any more.
+    // Merges a report from a peer. Ignored if a newer one is known.
+    void mergeReport(server_hash, limit_word, instant now);
+    // The server was restarted: what it reported before does not apply any more.
     void forget(server_hash, instant now);
-    // Empty if the server takes any number, as far as is known.
+    // Requests per second; empty if the server has no limit, as far as is known.
     std::optional<double> limitOf(server_hash, instant now) const;
-    std::optional<limit_word> wordOf(server_hash, instant now) const;
-    // True if any server has ever named a limit, as far as is remembered.
-    bool any() const { return !m_words.empty(); }
-    // Words that have changed a short while ago, for the peers.
-    limit_words news(instant now) const;
-    // All words, for a process that has just started; at most `count`.
-    limit_words known(std::size_t count, instant now) const;
-
-    // Notes that a request of this priority is to be sent to one of these servers of a service,
-    // and asks for grants where there are none.
-    void want(const std::string& service, const std::vector<server_hash>&, int priority, instant now);
-    // A request found no server for want of a grant.
+    // The server's latest report; empty if there is none or it is too old.
+    std::optional<limit_word> reportOf(server_hash, instant now) const;
+    // True if a report of any server is stored.
+    bool any() const { return !m_reports.empty(); }
+    // Reports that changed a short time ago, for the peers.
+    limit_words recentChanges(instant now) const;
+    // At most `count` of the limits that apply now, for a process that has just started.
+    limit_words currentLimits(std::size_t count, instant now) const;
+
+    // A request of this priority is to be sent to one of these servers of a service: asks for grants for
+    // servers with a limit for which there are none.
+    void requestGrants(const std::string& service, const std::vector<server_hash>&, int priority, instant now);
+    // A request was sent to no server since there was no grant for one.
     void noteUnserved(int priority, instant now);
     bool maySend(server_hash, int priority, instant now) const;
-    // Uses a grant, where the server has a limit.
-    void use(server_hash, instant now);
-    // True while an answer to the question for grants may still come.
+    // Uses up a grant if the server has a limit.
+    void useGrant(server_hash, instant now);
+    // True while the answer to a question for grants is expected.
     bool awaitsAnswer(server_hash, instant now) const;
     void noteGranted(const grant_answer&, instant now);
     // Called when there are questions to be sent.
@@ -91,33 +92,33 @@
 
 private:
     // Grants for one server.
-    struct purse {
-        // When each becomes void, the earliest first.
+    struct grant_account {
+        // When each grant expires, the earliest first.
         std::deque<instant> grants;
         std::optional<instant> askedAt;
         instant askAgainAt {};
     };
 
-    void note(server_hash, const limit_word&, instant now);
-    // Requests for a service in the last second, this one included.
+    void store(server_hash, const limit_word&, instant now);
+    // Counts a request. The number of requests for the service in the last second, this one included.
     int countRequest(const std::string& service, instant now);
-    void ask(server_hash, int wanted, int priority, instant now);
-    void forgetOld(instant now);
+    void askForGrants(server_hash, int wanted, int priority, instant now);
+    void expire(instant now);
     bool moreUrgentUnserved(int priority, instant now) const;
 
-    struct known_word {
-        limit_word word;
-        // When it changed what this process believes; empty: it never did.
+    struct stored_report {
+        limit_word report;
+        // When the reported limit last changed; empty: never.
         std::optional<instant> changedAt;
     };
 
-    std::map<server_hash, known_word> m_words;
-    // Words from before these moments are of an earlier life.
-    std::map<server_hash, instant> m_forgotten;
-    std::map<server_hash, purse> m_purses;
+    std::map<server_hash, stored_report> m_reports;
+    // When servers were restarted; reports from before that are of an earlier incarnation.
+    std::map<server_hash, instant> m_forgottenAt;
+    std::map<server_hash, grant_account> m_accounts;
     std::map<std::string, std::deque<instant>> m_requests;
-    // When requests of a priority last found no server.
-    std::map<int, instant> m_unserved;
+    // When a request of each priority was last sent to no server.
+    std::map<int, instant> m_unservedAt;
     std::vector<grant_question> m_questions;
     std::function<void()> m_onQuestions;
 };
--- a/Source/policy/shared_retry_budget.cpp
+++ b/Source/policy/shared_retry_budget.cpp
@@ -15,36 +15,36 @@
     m_sharers = std::max<std::size_t>(1, count);
 }
 
-void shared_retry_budget::forgetOld(window& held, instant now) const
+void shared_retry_budget::expire(window& usage, instant now) const
 {
-    while (!held.requests.empty() && now - held.requests.front() > m_bounds.window)
-        held.requests.pop_front();
-    while (!held.tries.empty() && now - held.tries.front() > m_bounds.window)
-        held.tries.pop_front();
+    while (!usage.requests.empty() && now - usage.requests.front() > m_bounds.window)
+        usage.requests.pop_front();
+    while (!usage.retries.empty() && now - usage.retries.front() > m_bounds.window)
+        usage.retries.pop_front();
 }
 
 void shared_retry_budget::noteRequest(const std::string& service, instant now)
 {
-    auto& held = m_services[service];
-    forgetOld(held, now);
-    held.requests.push_back(now);
+    auto& usage = m_services[service];
+    expire(usage, now);
+    usage.requests.push_back(now);
 }
 
-bool shared_retry_budget::has(const std::string& service, instant now)
+bool shared_retry_budget::allowsRetry(const std::string& service, instant now)
 {
-    auto& held = m_services[service];
-    forgetOld(held, now);
-    const bool started = now - m_startedAt < m_bounds.window;
-    const double allowance = started ? 0 : m_bounds.allowance / static_cast<double>(m_sharers);
-    const double share = m_bounds.ratio * static_cast<double>(held.requests.size()) + allowance;
-    return static_cast<double>(held.tries.size() + 1) <= m_bounds.caution * share;
+    auto& usage = m_services[service];
+    expire(usage, now);
+    const bool justStarted = now - m_startedAt < m_bounds.window;
+    const double allowance = justStarted ? 0 : m_bounds.allowance / static_cast<double>(m_sharers);
+    const double share = m_bounds.ratio * static_cast<double>(usage.requests.size()) + allowance;
+    return static_cast<double>(usage.retries.size() + 1) <= m_bounds.caution * share;
 }
 
-bool shared_retry_budget::take(const std::string& service, instant now)
+bool shared_retry_budget::tryConsume(const std::string& service, instant now)
 {
-    if (!has(service, now))
+    if (!allowsRetry(service, now))
         return false;
-    m_services[service].tries.push_back(now);
+    m_services[service].retries.push_back(now);
     return true;
 }
 
--- a/Source/policy/silence_limit.cpp
+++ b/Source/policy/silence_limit.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-    // Of what is usual with its deviations: an engine that is merely busy has answered by then.
+    // An engine that is only busy has answered by this multiple of the typical delay.
     constexpr int overdueFactor = 2;
-    // On a day without lost answers 250 tries were given up in the seconds after an opening and
-    // during a cut, when 0.7 of the places and more were taken.
-    constexpr double mostBusy = 0.6;
-    // Kept for the refusal or the first event to reach the caller.
+    // Without this, on a day on which no answers were lost, 250 attempts were given up in the seconds after
+    // an opening and during a network cut, when at least 0.7 of the slots were in use.
+    constexpr double maxBusyFraction = 0.6;
+    // Time for the refusal or the first event to reach the caller.
     constexpr milliseconds callerMargin { 120 };
 
 } // namespace
 
-std::optional<milliseconds> firstEventLimit(const first_event_question& question)
+std::optional<milliseconds> firstEventLimit(const first_event_question& input)
 {
-    if (question.busyPart > mostBusy)
+    if (input.busyPart > maxBusyFraction)
         return std::nullopt;
-    const milliseconds inTime = question.latencyTarget - question.waited - question.usual;
-    if (inTime >= question.usual)
-        return inTime;
-    const milliseconds limit = std::max(question.usual * overdueFactor, question.latencyTarget);
-    const milliseconds latest = question.patience - question.waited - question.usual - callerMargin;
+    const milliseconds latestOnTime = input.latencyTarget - input.waited - input.typicalDelay;
+    if (latestOnTime >= input.typicalDelay)
+        return latestOnTime;
+    const milliseconds limit = std::max(input.typicalDelay * overdueFactor, input.latencyTarget);
+    const milliseconds latest = input.patience - input.waited - input.typicalDelay - callerMargin;
     if (limit > latest)
         return std::nullopt;
     return limit;
--- a/Source/policy/silence_limit.h
+++ b/Source/policy/silence_limit.h
@@ -1,4 +1,4 @@
-// How long a try may stay silent before the request is tried elsewhere.
+// How long an attempt may stay silent before the request is sent to another server.
 #pragma once
 
 #include "policy/verdict.h"
@@ -8,25 +8,27 @@
 namespace rampgap {
 
 struct first_event_question {
-    // From sending to the first event, as lately observed: mean and two deviations.
-    milliseconds usual { 0 };
+    // Typical time from sending to the first event, as recently observed: mean and two deviations.
+    milliseconds typicalDelay { 0 };
     milliseconds latencyTarget { 0 };
-    // Silence after which the caller gives up by itself, and how much of it is gone.
+    // Silence after which the caller gives up, and how much of it has passed.
     milliseconds patience { 0 };
     milliseconds waited { 0 };
-    // Part of the service's places that are taken.
+    // Fraction of the service's request slots that are in use.
     double busyPart = 0;
 
     bool operator==(const first_event_question&) const = default;
 };
 
-// Load pattern: one of three answers in a service is lost on its way, without a reset, while
-// the others come as usual; then also all engines of a service that are slow at once. Asks for
-// another try once the first event is overdue by what is usual now: at the last moment at which
-// the second one can still be on time, if it is overdue by then, and otherwise once it takes
-// twice what is usual. The second try has no limit and is observed in full: where all engines
-// turn slow what is usual grows by it, and no more tries are given up. Empty while most places are
-// taken, when a late first event has waited for its turn and another try would wait again, and where the second try could not reach the caller any more.
+// The silence after which an attempt is given up for a second one; empty if it is to go on.
+//
+// Load pattern: one of three answers of a service is lost on its way without a connection reset, while
+// the others come as usual; or all engines of a service become slow at once. The limit is the last moment
+// at which a second attempt can still be on time, if the first event is overdue by then, and otherwise
+// twice the typical delay, but no less than the latency target. The second attempt has no limit and its
+// delay is observed in full: where all engines become slow, the typical delay grows with it, and no more
+// attempts are given up. Empty while most slots are in use, since a late first event has then waited for a slot
+// and a second attempt would wait again, and if the second attempt could not reach the caller in time.
 std::optional<milliseconds> firstEventLimit(const first_event_question&);
 
 } // namespace rampgap
--- a/Source/policy/token_bucket.h
+++ b/Source/policy/token_bucket.h
@@ -1,4 +1,4 @@
-// Tokens that come in at a steady rate and are kept up to a bound.
+// A token bucket: tokens are added at a steady rate, up to a maximum.
 #pragma once
 
 #include "policy/instant.h"
@@ -16,11 +16,11 @@
     {
     }
 
-    // Adds what has come in since it was last filled; keeps `most`.
-    void fill(double perSecond, double most, instant now)
+    // Adds the tokens for the time since the last call, up to `capacity` in total.
+    void fill(double perSecond, double capacity, instant now)
     {
         const double elapsed = std::chrono::duration<double>(now - m_filledAt).count();
-        m_tokens = std::min(m_tokens + perSecond * elapsed, most);
+        m_tokens = std::min(m_tokens + perSecond * elapsed, capacity);
         m_filledAt = now;
     }
     void take(double tokens) { m_tokens -= tokens; }
--- a/Source/policy/try_rules.cpp
+++ b/Source/policy/try_rules.cpp
@@ -4,32 +4,32 @@
 
 namespace {
 
-    // Servers that one request is offered to at the most, refusals and failed connections
-    // counted: of the servers listed a few may be gone, not all.
-    constexpr std::size_t mostTries = 8;
-    // A stream whose engine is silent for longer than a stalled group's bound (settings) and
-    // this is taken elsewhere; callers leave after a gap of two seconds.
+    // Maximum number of servers to which one request is sent, including refusals and failed connections:
+    // a few of the listed servers may be gone, but not all.
+    constexpr std::size_t maxServersTried = 8;
+    // Longer than the bound in the settings after which a group counts as stalled, and short enough for
+    // callers, who leave after a gap of two seconds.
     constexpr milliseconds streamSilence { 1'750 };
-    // The same where another group could go on with the stream. Steps held by a change of the
-    // placement end within half a second; a caller leaves after two, and the first event of a
+    // The same where another group could resume the stream. Steps that are delayed by a change of the
+    // placement end within half a second, a caller leaves after two seconds, and the first event of a
     // resumed stream takes 0.2 to 0.5 s.
-    constexpr milliseconds silenceOfOneGroup { 900 };
+    constexpr milliseconds silenceWithOtherGroup { 900 };
 
 } // namespace
 
-bool mayTryAgain(const another_try_question& question)
+bool mayTryAgain(const another_try_question& input)
 {
-    if (question.ran != verdict::not_run && !question.repeatable)
+    if (input.ran != verdict::not_run && !input.repeatable)
         return false;
-    // A plain answer that has begun cannot be taken back; a stream goes on after its last event.
-    if (question.begun && !question.resumable)
+    // A plain answer that has begun cannot be revoked; a stream can be resumed after its last event.
+    if (input.answerBegun && !input.resumable)
         return false;
-    return question.runs < question.maxAttempts && question.tried < mostTries;
+    return input.possibleRuns < input.maxAttempts && input.serversTried < maxServersTried;
 }
 
 milliseconds streamSilenceLimit(bool openElsewhere)
 {
-    return openElsewhere ? silenceOfOneGroup : streamSilence;
+    return openElsewhere ? silenceWithOtherGroup : streamSilence;
 }
 
 } // namespace rampgap
--- a/Source/policy/try_rules.h
+++ b/Source/policy/try_rules.h
@@ -1,4 +1,4 @@
-// How often and how long a request is tried at servers.
+// Limits on how often a request is sent to servers, and how long an attempt may stay silent.
 #pragma once
 
 #include "policy/verdict.h"
@@ -7,29 +7,29 @@
 
 namespace rampgap {
 
-// Several times a round trip between zones; a lost packet is sent again only after a second, so
-// another server is the faster way.
+// Several times the round trip between zones. A lost packet of a connection attempt is sent again only
+// after a second, so trying another server is faster.
 inline constexpr milliseconds serverConnectTimeout { 250 };
 
 struct another_try_question {
-    // Of the tries so far, together.
+    // What is known of all attempts so far together.
     verdict ran = verdict::not_run;
-    // Of the route.
+    // Properties of the route.
     bool repeatable = false;
     bool resumable = false;
     int maxAttempts = 1;
-    // Tries that a server may have run, and servers that were offered it.
-    int runs = 0;
-    std::size_t tried = 0;
-    // The caller has a part of the answer.
-    bool begun = false;
+    // Attempts that a server may have run, and servers to which the request was sent.
+    int possibleRuns = 0;
+    std::size_t serversTried = 0;
+    // The caller has received a part of the answer.
+    bool answerBegun = false;
 };
 
-// Whether another try is safe and within the route's limit, whatever the retry budget says.
+// Whether another attempt is safe and within the route's limit. The retry budget is checked separately.
 bool mayTryAgain(const another_try_question&);
 
-// Silence after which a stream is taken elsewhere. `openElsewhere`: another expert group could go
-// on with it.
+// Silence after which a stream is resumed at another server. `openElsewhere`: another expert group could
+// resume it.
 milliseconds streamSilenceLimit(bool openElsewhere);
 
 } // namespace rampgap
--- a/Source/policy/verdict.h
+++ b/Source/policy/verdict.h
@@ -1,4 +1,4 @@
-// Whether a request may have run, and the failure that carries the answer.
+// Whether a request may have run, and the description of its failure.
 #pragma once
 
 #include "policy/instant.h"
@@ -16,7 +16,7 @@
     may_have_run,
     ran };
 
-// Why a request failed; names the metric label and the error code of the answer.
+// Why a request failed. Its name is the metric label and the error code of the answer.
 enum class failure_reason {
     unauthenticated,
     forbidden,
@@ -32,7 +32,9 @@
     retries_exhausted,
     leaving,
     not_ready,
+    // The agent does not own the request id.
     not_home,
+    // The agent cannot yet rule out that the id has run elsewhere.
     unproven,
     stale_permit,
     stale_revision,
@@ -45,7 +47,7 @@
     server_backoff,
 };
 
-// A failure of one request. `retryAfter` is set where coming back helps.
+// A failure of one request. `retryAfter` is set if a later retry may succeed.
 struct failure {
     verdict ran = verdict::not_run;
     failure_reason reason = failure_reason::invalid_request;
@@ -55,9 +57,9 @@
     bool operator==(const failure&) const = default;
 };
 
-// A failure of a request that was not run.
+// The failure of a request that was not run.
 failure notRun(failure_reason, std::string message, std::optional<milliseconds> retryAfter = std::nullopt);
-// A failure of a request of which it is not known whether it ran.
+// The failure of a request that may have run.
 failure mayHaveRun(failure_reason, std::string message);
 
 template <class Value>
--- a/Tests/platform/retry-budget/test.cpp
+++ b/Tests/platform/retry-budget/test.cpp
@@ -1,4 +1,4 @@
-// The retry budget of a fleet holds by arithmetic, also over restarts.
+// The processes of a fleet together stay within its retry budget without messages, also after restarts.
 #include "policy/shared_retry_budget.h"
 
 #include <doctest/doctest.h>
@@ -11,10 +11,10 @@
 constexpr retry_bounds bounds { 0.2, 90, milliseconds(10'000), 0.8 };
 const instant zero {};
 
-int takeAll(shared_retry_budget& budget, instant now)
+int consumeAll(shared_retry_budget& budget, instant now)
 {
     int taken = 0;
-    while (budget.take("model", now))
+    while (budget.tryConsume("model", now))
         ++taken;
     return taken;
 }
@@ -24,42 +24,42 @@
 TEST_CASE("a fleet whose processes are all restarted stays within one allowance")
 {
     const std::size_t entries = 7;
-    double tries = 0;
+    double retries = 0;
     for (std::size_t i = 0; i < entries; ++i) {
         shared_retry_budget before(bounds, zero);
         before.setSharers(entries);
-        tries += takeAll(before, zero + milliseconds(11'000));
+        retries += consumeAll(before, zero + milliseconds(11'000));
         shared_retry_budget after(bounds, zero + milliseconds(12'000));
-        // A process that has just started knows of no other yet.
+        // A process that has just started knows no other yet.
         after.setSharers(1);
-        tries += takeAll(after, zero + milliseconds(13'000));
+        retries += consumeAll(after, zero + milliseconds(13'000));
     }
-    CHECK(tries <= bounds.allowance);
-    CHECK(tries > 0);
+    CHECK(retries <= bounds.allowance);
+    CHECK(retries > 0);
 }
 
-TEST_CASE("no window has more tries than the share of its requests and of the allowance")
+TEST_CASE("no window has more retries than its fraction of the requests plus the share of the allowance")
 {
     CHECK(rc::check([] {
         const auto sharers = *rc::gen::inRange<std::size_t>(1, 40);
         shared_retry_budget budget(bounds, zero - bounds.window);
         budget.setSharers(sharers);
         std::vector<instant> requests;
-        std::vector<instant> tries;
+        std::vector<instant> retries;
         instant now = zero;
         for (const auto gap : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 200))) {
             now += milliseconds(gap);
             budget.noteRequest("model", now);
             requests.push_back(now);
-            if (budget.take("model", now))
-                tries.push_back(now);
+            if (budget.tryConsume("model", now))
+                retries.push_back(now);
         }
         const auto countFrom = [&](const std::vector<instant>& times, instant end) {
             return std::count_if(times.begin(), times.end(), [&](instant at) { return at > end - bounds.window && at <= end; });
         };
-        for (const instant end : tries) {
+        for (const instant end : retries) {
             const double limit = bounds.ratio * static_cast<double>(countFrom(requests, end) + 1) + bounds.allowance / static_cast<double>(sharers);
-            RC_ASSERT(static_cast<double>(countFrom(tries, end)) <= limit);
+            RC_ASSERT(static_cast<double>(countFrom(retries, end)) <= limit);
         }
     }));
 }
--- a/Tests/platform/server-backoff/test.cpp
+++ b/Tests/platform/server-backoff/test.cpp
@@ -1,4 +1,5 @@
-// A server that asked to back off gets nothing until it is over, then one request before any other.
+// A server that asked to back off gets no request until the backoff is over, then a single one until that is
+// answered.
 #include "policy/upstream_choice.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("a backoff holds to its end, whatever is answered meanwhile")
+TEST_CASE("a backoff lasts to its end, whatever the server answers in the meantime")
 {
     server_backoffs backoffs;
     CHECK(backoffs.maySend(server, at(0)));
@@ -28,20 +29,20 @@
     CHECK(backoffs.maySend(other, at(0)));
 }
 
-TEST_CASE("after a backoff one request goes first, and others with its answer")
+TEST_CASE("after a backoff one request goes first, and others after its answer")
 {
     server_backoffs backoffs;
     backoffs.noteAsked(server, milliseconds(1'000), at(0));
-    backoffs.use(server, at(1'000));
+    backoffs.recordSent(server, at(1'000));
     CHECK_FALSE(backoffs.maySend(server, at(1'100)));
-    SUBCASE("its answer asks for no more of it")
+    SUBCASE("its answer asks for no further backoff")
     {
         backoffs.noteAnswered(server, at(1'100));
         CHECK(backoffs.maySend(server, at(1'100)));
-        backoffs.use(server, at(1'100));
+        backoffs.recordSent(server, at(1'100));
         CHECK(backoffs.maySend(server, at(1'100)));
     }
-    SUBCASE("it is turned away again")
+    SUBCASE("it is refused again")
     {
         backoffs.noteAsked(server, milliseconds(1'000), at(1'100));
         CHECK_FALSE(backoffs.maySend(server, at(2'099)));
@@ -53,7 +54,7 @@
     }
 }
 
-TEST_CASE("a new life knows nothing of the backoff")
+TEST_CASE("a restart of the server ends the backoff")
 {
     server_backoffs backoffs;
     backoffs.noteAsked(server, milliseconds(1'000), at(0));
@@ -61,7 +62,7 @@
     CHECK(backoffs.maySend(server, at(1)));
 }
 
-TEST_CASE("where all servers ask to back off, the first that is back is known")
+TEST_CASE("where all servers ask to back off, the time until the first of them is available is known")
 {
     server_backoffs backoffs;
     CHECK_FALSE(backoffs.untilFirst({}, at(0)).has_value());
@@ -72,7 +73,7 @@
     CHECK_FALSE(backoffs.untilFirst({ server, other }, at(400)).has_value());
 }
 
-TEST_CASE("a server that asked to back off is not chosen, and its places do not count")
+TEST_CASE("a server that asked to back off is not chosen, and its slots do not count")
 {
     backend_directory backends;
     for (const std::string id : { "a", "b" })
--- a/Tests/platform/server-limit/choice.cpp
+++ b/Tests/platform/server-limit/choice.cpp
@@ -1,4 +1,4 @@
-// A server with a limit gets what it takes, from whoever has a grant for it.
+// A server with a limit gets requests only from processes that have a grant for it.
 #include "policy/upstream_choice.h"
 
 #include <doctest/doctest.h>
@@ -46,16 +46,16 @@
         CHECK(fleet.choose() != "own0");
 }
 
-TEST_CASE("a grant is used, though the server is in another zone")
+TEST_CASE("a grant is used even if the server is in another zone")
 {
     made fleet;
     fleet.name("far0", 1);
     CHECK(fleet.choose() == "far0");
-    fleet.backpressure.use(backendHash("far0"), now);
+    fleet.backpressure.recordSent(backendHash("far0"), now);
     CHECK(fleet.choose() != "far0");
 }
 
-TEST_CASE("the places that a limit leaves empty are not counted")
+TEST_CASE("the slots that a limit leaves empty are not counted")
 {
     made fleet;
     const pool_question asked { "plain", std::nullopt, milliseconds(0), milliseconds(1'500), now };
--- a/Tests/platform/server-limit/fleet.cpp
+++ b/Tests/platform/server-limit/fleet.cpp
@@ -1,5 +1,5 @@
-// A whole fleet of entry VMs before one server with a limit: it is kept and used, and the arbiter
-// is not asked too often.
+// A whole fleet of entry VMs that send to one server with a limit: they stay within the limit and use it, and
+// the arbiter is not asked too often.
 #include "policy/grant_office.h"
 
 #include <algorithm>
@@ -13,14 +13,14 @@
 constexpr server_hash server = 7;
 constexpr int usual = 2;
 constexpr int lengthMs = 30'000;
-// From the first word on, entry VMs learn of the limit and ask for the first time.
+// In this time entry VMs learn of the limit and ask for the first time.
 constexpr int settledMs = 5'000;
-// A window of the users' rule, and what may come in one.
+// The window over which users count requests, and how many may come in one.
 constexpr milliseconds window { 4'000 };
 constexpr double excess = 1.5;
 constexpr double allowance = 5;
 constexpr double leastUsed = 0.5;
-// What an arbiter may be asked by a whole fleet for one server.
+// Questions per second that an arbiter may get from a whole fleet for one server.
 constexpr double mostQuestionsPerSecond = 25;
 
 const instant zero { std::chrono::hours(1) };
@@ -34,7 +34,7 @@
     {
     }
 
-    // `demand`: requests a second that would go to the server.
+    // `demand`: requests per second that would go to the server.
     void run(double demand)
     {
         for (auto& entry : m_entries)
@@ -44,7 +44,7 @@
             request(zero + milliseconds(static_cast<int>(now)));
     }
 
-    // Most requests in a window once the limit is to be kept.
+    // The largest number of requests in any window.
     int most() const
     {
         std::ptrdiff_t most = 0;
@@ -57,7 +57,7 @@
     double questionsPerSecond() const { return 1'000.0 * m_questions / (lengthMs - settledMs); }
 
 private:
-    // Half of the requests come to a tenth of the entry VMs.
+    // Half of the requests arrive at a tenth of the entry VMs.
     std::size_t drawEntry()
     {
         const std::size_t few = std::max<std::size_t>(1, m_entries.size() / 10);
@@ -68,23 +68,23 @@
     void request(instant now)
     {
         const std::size_t index = drawEntry();
-        server_limits& own = m_entries[index];
-        own.want("model", { server }, usual, now);
-        for (const auto& question : own.takeQuestions()) {
+        server_limits& limits = m_entries[index];
+        limits.requestGrants("model", { server }, usual, now);
+        for (const auto& question : limits.takeQuestions()) {
             m_questions += now - zero >= milliseconds(settledMs) ? 1 : 0;
-            own.noteGranted(m_office.answer(std::to_string(index), question, m_limit, now), now);
+            limits.noteGranted(m_arbiter.answer(std::to_string(index), question, m_limit, now), now);
         }
-        if (!own.maySend(server, usual, now))
+        if (!limits.maySend(server, usual, now))
             return;
-        own.use(server, now);
+        limits.useGrant(server, now);
         for (auto& entry : m_entries)
-            entry.noteTold(server, { m_limit, now }, now);
+            entry.mergeReport(server, { m_limit, now }, now);
         m_arrivals.push_back(now);
     }
 
     double m_limit;
     std::vector<server_limits> m_entries;
-    grant_office m_office;
+    grant_office m_arbiter;
     std::vector<instant> m_arrivals;
     int m_questions = 0;
     std::mt19937_64 m_random;
@@ -92,7 +92,7 @@
 
 } // namespace
 
-TEST_CASE("a limit is kept and used by fleets of 7, 149 and 390 entry VMs")
+TEST_CASE("fleets of 7, 149 and 390 entry VMs stay within a limit and use it")
 {
     for (const std::size_t entries : { 7, 149, 390 }) {
         for (const double limit : { 1.0, 4.0, 12.0 }) {
--- a/Tests/platform/server-limit/words.cpp
+++ b/Tests/platform/server-limit/words.cpp
@@ -1,4 +1,4 @@
-// What a server said of its limit: the newest word holds, of this life only, and not for ever.
+// Reports of a server about its limit: the newest one of the current incarnation applies until it is too old.
 #include "policy/server_limits.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("a server that names no limit takes any number")
+TEST_CASE("a server that reports no limit accepts any number of requests")
 {
     server_limits limits;
     limits.noteAnswer(server, std::nullopt, at(0));
@@ -23,32 +23,32 @@
     CHECK(limits.maySend(server, usual, at(0)));
 }
 
-TEST_CASE("the newest word about a limit holds, whoever heard it")
+TEST_CASE("the newest report about a limit applies, whichever process received it")
 {
     server_limits limits;
     limits.noteAnswer(server, 2.0, at(1'000));
-    limits.noteTold(server, { std::nullopt, at(500) }, at(1'100));
+    limits.mergeReport(server, { std::nullopt, at(500) }, at(1'100));
     CHECK((limits.limitOf(server, at(1'100)) == 2.0));
-    limits.noteTold(server, { 5.0, at(1'200) }, at(1'300));
+    limits.mergeReport(server, { 5.0, at(1'200) }, at(1'300));
     CHECK((limits.limitOf(server, at(1'300)) == 5.0));
     CHECK_FALSE(limits.maySend(server, usual, at(1'300)));
     limits.noteAnswer(server, std::nullopt, at(1'400));
     CHECK(limits.maySend(server, usual, at(1'400)));
 }
 
-TEST_CASE("a word about a limit does not outlive the server's life")
+TEST_CASE("a report about a limit ends with the server's incarnation")
 {
     server_limits limits;
     limits.noteAnswer(server, 2.0, at(0));
     limits.forget(server, at(100));
     CHECK(limits.maySend(server, usual, at(100)));
-    limits.noteTold(server, { 2.0, at(50) }, at(150));
+    limits.mergeReport(server, { 2.0, at(50) }, at(150));
     CHECK(limits.maySend(server, usual, at(150)));
-    limits.noteTold(server, { 2.0, at(120) }, at(160));
+    limits.mergeReport(server, { 2.0, at(120) }, at(160));
     CHECK_FALSE(limits.maySend(server, usual, at(160)));
 }
 
-TEST_CASE("a limit that nothing confirms for half a minute holds no more")
+TEST_CASE("a limit that is not confirmed for half a minute does not apply any more")
 {
     server_limits limits;
     limits.noteAnswer(server, 2.0, at(0));
@@ -56,42 +56,42 @@
     CHECK(limits.maySend(server, usual, at(30'000)));
 }
 
-TEST_CASE("changes are news for a second, and not every repetition is one")
+TEST_CASE("a change is sent to peers for a second, and a repeated report is no change")
 {
     server_limits limits;
     limits.noteAnswer(server, 2.0, at(0));
-    CHECK(limits.news(at(900)).size() == 1);
+    CHECK(limits.recentChanges(at(900)).size() == 1);
     limits.noteAnswer(server, 2.02, at(800));
-    CHECK(limits.news(at(1'100)).empty());
+    CHECK(limits.recentChanges(at(1'100)).empty());
     limits.noteAnswer(server, std::nullopt, at(1'200));
-    REQUIRE(limits.news(at(1'300)).size() == 1);
-    CHECK_FALSE(limits.news(at(1'300)).front().second.perSecond.has_value());
-    CHECK(limits.known(10, at(1'300)).empty());
+    REQUIRE(limits.recentChanges(at(1'300)).size() == 1);
+    CHECK_FALSE(limits.recentChanges(at(1'300)).front().second.perSecond.has_value());
+    CHECK(limits.currentLimits(10, at(1'300)).empty());
 }
 
-TEST_CASE("a grant lets one request through, and is void after a second")
+TEST_CASE("a grant allows one request, and expires after a second")
 {
     server_limits limits;
     limits.noteAnswer(server, 2.0, at(0));
     int asked = 0;
     limits.onQuestions([&] { ++asked; });
-    limits.want("s", { server }, usual, at(0));
+    limits.requestGrants("s", { server }, usual, at(0));
     CHECK(limits.takeQuestions().size() == 1);
-    limits.want("s", { server }, usual, at(10));
+    limits.requestGrants("s", { server }, usual, at(10));
     CHECK(asked == 1);
     CHECK(limits.awaitsAnswer(server, at(10)));
     limits.noteGranted({ server, 2, milliseconds(500) }, at(20));
     CHECK(limits.maySend(server, usual, at(30)));
-    limits.use(server, at(30));
+    limits.useGrant(server, at(30));
     CHECK(limits.maySend(server, usual, at(30)));
     CHECK_FALSE(limits.maySend(server, usual, at(1'020)));
-    limits.want("s", { server }, usual, at(400));
+    limits.requestGrants("s", { server }, usual, at(400));
     CHECK(limits.takeQuestions().empty());
-    limits.want("s", { server }, usual, at(1'030));
+    limits.requestGrants("s", { server }, usual, at(1'030));
     CHECK(limits.takeQuestions().size() == 1);
 }
 
-TEST_CASE("a grant waits half of its life while more urgent requests go unserved")
+TEST_CASE("a grant is reserved for half of its lifetime while more urgent requests go unserved")
 {
     server_limits limits;
     limits.noteAnswer(server, 2.0, at(0));
@@ -106,10 +106,10 @@
 {
     server_limits limits;
     limits.noteAnswer(server, 2.0, at(0));
-    limits.want("s", { server }, usual, at(0));
+    limits.requestGrants("s", { server }, usual, at(0));
     limits.takeQuestions();
-    limits.want("s", { server }, usual, at(299));
+    limits.requestGrants("s", { server }, usual, at(299));
     CHECK(limits.takeQuestions().empty());
-    limits.want("s", { server }, usual, at(301));
+    limits.requestGrants("s", { server }, usual, at(301));
     CHECK(limits.takeQuestions().size() == 1);
 }
--- a/Tests/platform/try-rules/test.cpp
+++ b/Tests/platform/try-rules/test.cpp
@@ -1,4 +1,4 @@
-// When a request may be tried again.
+// When a request may be sent to another server.
 #include "policy/try_rules.h"
 
 #include <doctest/doctest.h>
@@ -6,7 +6,7 @@
 
 using namespace rampgap;
 
-TEST_CASE("what may have run is tried again only if it may run twice")
+TEST_CASE("a request that may have run is sent again only if it may run twice")
 {
     CHECK(rc::check([] {
         another_try_question question;
@@ -14,22 +14,22 @@
         question.repeatable = *rc::gen::arbitrary<bool>();
         question.resumable = *rc::gen::arbitrary<bool>();
         question.maxAttempts = *rc::gen::inRange(1, 4);
-        question.runs = *rc::gen::inRange(0, 5);
-        question.tried = *rc::gen::inRange<std::size_t>(0, 12);
-        question.begun = *rc::gen::arbitrary<bool>();
+        question.possibleRuns = *rc::gen::inRange(0, 5);
+        question.serversTried = *rc::gen::inRange<std::size_t>(0, 12);
+        question.answerBegun = *rc::gen::arbitrary<bool>();
         if (!mayTryAgain(question))
             return;
         RC_ASSERT(question.ran == verdict::not_run || question.repeatable);
-        RC_ASSERT(!question.begun || question.resumable);
-        RC_ASSERT(question.runs < question.maxAttempts);
+        RC_ASSERT(!question.answerBegun || question.resumable);
+        RC_ASSERT(question.possibleRuns < question.maxAttempts);
     }));
     CHECK(mayTryAgain({ verdict::not_run, false, false, 1, 0, 1, false }));
     CHECK_FALSE(mayTryAgain({ verdict::not_run, false, false, 1, 0, 8, false }));
 }
 
-TEST_CASE("a silent stream is taken elsewhere sooner where another group can go on with it")
+TEST_CASE("a silent stream is resumed elsewhere sooner if another group can resume it")
 {
     CHECK(streamSilenceLimit(true) < streamSilenceLimit(false));
-    // The second first event must still reach a caller that leaves after two seconds.
+    // The first event of the resumed stream must still reach a caller that leaves after two seconds.
     CHECK(streamSilenceLimit(true) + milliseconds(1'000) <= milliseconds(2'000));
 }
--- a/Tests/requests/at-most-once-property/once_model.cpp
+++ b/Tests/requests/at-most-once-property/once_model.cpp
@@ -89,19 +89,19 @@
             leave(any());
         break;
     case 14:
-        talk();
+        exchangeAll();
         break;
     default:
         send();
     }
 }
 
-// Drains or returns one backend; declares stopped only what is stopped.
+// Drains one backend or puts it back; declares it stopped only if it is.
 void once_model::publish()
 {
     const declaration& last = m_declarations.back();
     const std::size_t changed = m_choices.below(agentCount);
-    // At least two homes stay, or nothing could run.
+    // At least two owners remain, or nothing could run.
     const auto& homes = last.homesOf(service);
     if (homes.size() <= 2 && std::find(homes.begin(), homes.end(), nameOf(changed)) != homes.end())
         return;
@@ -126,7 +126,7 @@
     which.guard->apply(declared(which), m_now);
 }
 
-// Requests go to any agent whatever the sender knows: each agent must defend itself.
+// Requests go to any agent, whatever the sender knows: each agent must check them itself.
 void once_model::send()
 {
     std::string key;
@@ -145,12 +145,12 @@
     }
 }
 
-void once_model::talk()
+void once_model::exchangeAll()
 {
     for (std::size_t asker = 0; asker < agentCount; ++asker) {
         for (std::size_t asked = 0; asked < agentCount; ++asked) {
             if (asker != asked && m_agents[asker].alive && m_agents[asked].alive)
-                m_agents[asker].guard->takeHandover(m_agents[asked].guard->answerHandover(m_agents[asker].guard->homes().standing(), false, m_now), m_now);
+                m_agents[asker].guard->takeHandover(m_agents[asked].guard->answerHandover(m_agents[asker].guard->ownership().standing(), false, m_now), m_now);
         }
     }
 }
@@ -158,7 +158,7 @@
 bool once_model::tryRun(agent& target, const std::string& key)
 {
     const auto known = m_ids.find(key);
-    // Callers repeat an id only within its life.
+    // Callers repeat an id only within its lifetime.
     if (known != m_ids.end() && m_now - known->second.born >= idLife) {
         m_ids.erase(known);
         return false;
@@ -181,7 +181,7 @@
     agent& to = m_agents[asked];
     if (asker == asked || !from.alive || !to.alive)
         return;
-    late_answer made { asker, from.incarnation, to.guard->answerHandover(from.guard->homes().standing(), takeBack, m_now), takeBack };
+    late_answer made { asker, from.incarnation, to.guard->answerHandover(from.guard->ownership().standing(), takeBack, m_now), takeBack };
     switch (m_choices.below(6)) {
     case 0:
         break;
@@ -202,7 +202,7 @@
         return;
     const std::size_t which = m_choices.below(static_cast<std::uint32_t>(m_late.size()));
     const late_answer late = m_late[which];
-    // Half of them come again.
+    // Half of the late answers arrive a second time.
     if (m_choices.below(2) == 0)
         m_late.erase(m_late.begin() + static_cast<std::ptrdiff_t>(which));
     agent& from = m_agents[late.asker];
@@ -222,7 +222,7 @@
 void once_model::restart(std::size_t which, std::size_t revisionIndex)
 {
     agent& target = m_agents[which];
-    // What the operator declared stopped is not started before it is declared again.
+    // A backend that the operator declared stopped is not started before it is declared running again.
     if (const auto* backend = m_declarations.back().findBackend(nameOf(which)); backend->stopped)
         return;
     ++target.incarnation;
@@ -237,19 +237,19 @@
     agent& target = m_agents[which];
     if (!target.alive)
         return;
-    const auto deposit = target.guard->giveAway(m_now);
+    const auto deposit = target.guard->handOff(m_now);
     crash(which);
     if (!deposit)
         return;
-    for (const auto& name : target.guard->homes().keepers()) {
+    for (const auto& name : target.guard->ownership().keepers()) {
         const std::size_t index = static_cast<std::size_t>(name.back() - '0');
         agent& keeper = m_agents[index];
         if (!keeper.alive)
             continue;
-        const bool taken = keeper.guard->takeDeposit(*deposit, m_now);
+        const bool accepted = keeper.guard->takeDeposit(*deposit, m_now);
         const bool replyLost = m_choices.below(4) == 0;
-        // After a lost answer no other keeper may be asked.
-        if (taken || replyLost)
+        // After a lost answer no other standby may be asked.
+        if (accepted || replyLost)
             return;
     }
 }
@@ -265,7 +265,7 @@
             while (member.alive && member.revisionIndex + 1 < m_declarations.size())
                 learn(member, false);
         }
-        talk();
+        exchangeAll();
         m_now += idLife + milliseconds(1);
     }
 }
--- a/Tests/requests/at-most-once-property/once_model.h
+++ b/Tests/requests/at-most-once-property/once_model.h
@@ -1,4 +1,4 @@
-// A world of agents under random faults, in which each run of an id is counted.
+// Simulates agents under random faults and counts the runs of each id.
 #pragma once
 
 #include "policy/execution_guard.h"
@@ -28,11 +28,11 @@
 public:
     explicit once_model(choice_source&);
 
-    // One random event: a request, the passing of time, a message, a fault, a change.
+    // One random event: a request, passing time, a message, a fault or a change of configuration.
     void step();
-    // Ends all faults and lets the agents talk until nothing is missing.
+    // Ends all faults and lets the agents exchange messages until no state is missing.
     void heal();
-    // The highest number of runs of one id within its life.
+    // The highest number of runs of one id within its lifetime.
     int mostRuns() const { return m_mostRuns; }
     int accepted() const { return m_accepted; }
     // True if some agent would run a new id.
@@ -60,8 +60,8 @@
     void learn(agent&, bool skip);
     void send();
     void ask(std::size_t asker, std::size_t asked, bool takeBack);
-    // Every agent asks every other, without loss.
-    void talk();
+    // Every agent queries every other, without loss.
+    void exchangeAll();
     void deliverLate();
     void crash(std::size_t);
     void restart(std::size_t, std::size_t revisionIndex);
--- a/Tests/requests/at-most-once-property/stale_restart.cpp
+++ b/Tests/requests/at-most-once-property/stale_restart.cpp
@@ -1,4 +1,4 @@
-// Directed: most agents of a pool restart while the configuration service is stale.
+// A directed test: most agents of a pool restart while the configuration service returns an old revision.
 
 #include "policy/execution_guard.h"
 #include "policy/rendezvous.h"
@@ -25,11 +25,11 @@
 
 } // namespace
 
-TEST_CASE("after restarts on a stale service, the quarantine counts from the proof")
+TEST_CASE("after restarts on a stale service, the quarantine begins when the revision is known to be current")
 {
     const declaration stale = declared(1, "");
     const declaration later = declared(2, "a0");
-    // An id whose home is a0 under the stale revision and a1 under the later one.
+    // An id whose owner is a0 under the stale revision and a1 under the later one.
     request_id id { "w", "f", "0" };
     for (int i = 0; rendezvousPick(id.text(), stale.homesOf("f")) != "a0" || rendezvousPick(id.text(), later.homesOf("f")) != "a1"; ++i)
         id.key = std::to_string(i);
@@ -47,7 +47,7 @@
         for (auto& asker : agents) {
             for (auto& asked : agents) {
                 if (asker != asked)
-                    asker->takeHandover(asked->answerHandover(asker->homes().standing(), false, now), now);
+                    asker->takeHandover(asked->answerHandover(asker->ownership().standing(), false, now), now);
             }
         }
     };
@@ -56,11 +56,11 @@
     for (auto& member : agents)
         member->apply(later, now);
     talk();
-    // a0 comes back on a stale service; a1 still runs the id, as its home.
+    // a0 restarts on the stale service; a1 still runs the id, as its owner.
     agents[0] = restarted("a0", 2, stale);
     now += idLife - milliseconds(1);
     REQUIRE(agents[1]->claim(id, 0, now).has_value());
-    // Then the others come back on the stale service too, and all agree on it.
+    // Then the others restart on the stale service too, and all agree on its revision.
     agents[1] = restarted("a1", 2, stale);
     agents[2] = restarted("a2", 2, stale);
     now += milliseconds(1);
--- a/Tests/requests/at-most-once-property/test.cpp
+++ b/Tests/requests/at-most-once-property/test.cpp
@@ -1,5 +1,5 @@
-// At most once, under crashes, restarts with stale configuration, drains, late and lost
-// messages, planned stops, and any of these together.
+// Each id runs at most once under crashes, restarts with stale configuration, drains, late and lost
+// messages, planned stops, and any combination of these.
 
 #include "once_model.h"
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("no id runs twice within its life, whatever fails")
+TEST_CASE("no id runs twice within its lifetime, whatever fails")
 {
     int accepted = 0;
     int runs = 0;
@@ -34,7 +34,7 @@
         RC_ASSERT(model.mostRuns() <= 1);
     });
     CHECK(held);
-    // A guard that refuses everything would hold as well.
+    // A guard that refuses everything would pass the check above as well.
     MESSAGE("ids run: " << accepted << " in " << runs << " worlds");
     CHECK(accepted > 5 * runs);
 }
--- a/Tests/requests/engine-intake/test.cpp
+++ b/Tests/requests/engine-intake/test.cpp
@@ -1,4 +1,4 @@
-// What an agent passes on to its engine: no more than the engine asks for, in this life of it.
+// An agent passes on to its engine no more than the engine's current incarnation asks for.
 #include "policy/engine_intake.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("an engine's limit holds from its first word to a word without it, or to the end of its life")
+TEST_CASE("an engine's limit applies from its first report until a report without it, or until the engine's restart")
 {
     engine_intake intake;
     CHECK(intake.enter("e1", at(0)).has_value());
@@ -29,7 +29,7 @@
     CHECK(intake.enter("e1", at(10'000)).has_value());
 }
 
-TEST_CASE("entry VMs that an engine's limit refused are given turns, not one moment")
+TEST_CASE("entry VMs that an engine's limit refused are told different times to retry")
 {
     engine_intake intake;
     intake.noteLimit(1.0, at(0));
@@ -43,7 +43,7 @@
     }
 }
 
-TEST_CASE("an engine that takes nothing is tried now and then")
+TEST_CASE("an engine that accepts nothing gets a request now and then")
 {
     engine_intake intake;
     intake.noteLimit(0.0, at(0));
@@ -54,7 +54,7 @@
     CHECK(taken <= 7);
 }
 
-TEST_CASE("an engine's backoff is not cut short, and what it said ends with its life")
+TEST_CASE("an engine's backoff is not shortened, and ends with the engine's restart")
 {
     engine_intake intake;
     intake.noteBackoff(milliseconds(3'000), at(0));
--- a/Tests/requests/ledger-property/test.cpp
+++ b/Tests/requests/ledger-property/test.cpp
@@ -1,4 +1,4 @@
-// The ledger of ids: one run within a life, bounded memory, own answers.
+// The ledger of ids: one run within an id's lifetime, bounded memory, the right answer for each id.
 
 #include "policy/request_ledger.h"
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("an id runs once within its life and memory stays bounded")
+TEST_CASE("an id runs once within its lifetime and memory stays bounded")
 {
     CHECK(rc::check("ledger", [] {
         request_ledger ledger(small);
--- a/Tests/requests/permit-property/test.cpp
+++ b/Tests/requests/permit-property/test.cpp
@@ -1,4 +1,4 @@
-// Permits and pauses: what an entry VM held while it slept is refused.
+// Permits and pauses: requests that an entry VM sends after it was paused, with an old permit, are refused.
 
 #include "policy/pause_detector.h"
 #include "policy/permit_office.h"
@@ -14,36 +14,36 @@
 
 } // namespace
 
-TEST_CASE("a permit is good for its life on the agent's clock and no longer")
+TEST_CASE("a permit is valid for its lifetime on the agent's clock and no longer")
 {
     CHECK(rc::check("permit life", [] {
-        const permit_office office(7, start);
+        const permit_office issuer(7, start);
         const auto issued = milliseconds(*rc::gen::inRange(0, 1'000'000));
         const auto age = milliseconds(*rc::gen::inRange(0, 10'000));
-        const std::string permit = office.issue(start + issued);
-        RC_ASSERT(office.check(permit, start + issued + age).has_value() == (age <= permitLife));
+        const std::string permit = issuer.issue(start + issued);
+        RC_ASSERT(issuer.check(permit, start + issued + age).has_value() == (age <= permitLife));
     }));
 }
 
 TEST_CASE("a permit of another incarnation, of the future, or malformed is refused as not run")
 {
-    const permit_office office(7, start);
-    CHECK((permit_office(8, start).check(office.issue(start), start).error().ran == verdict::not_run));
-    CHECK(office.check(office.issue(start + milliseconds(50)), start).has_error());
+    const permit_office issuer(7, start);
+    CHECK((permit_office(8, start).check(issuer.issue(start), start).error().ran == verdict::not_run));
+    CHECK(issuer.check(issuer.issue(start + milliseconds(50)), start).has_error());
     CHECK(rc::check("any text", [&](const std::string& text) {
-        const auto checked = office.check(text, start);
-        RC_ASSERT(!checked || text == office.issue(start));
+        const auto checked = issuer.check(text, start);
+        RC_ASSERT(!checked || text == issuer.issue(start));
     }));
 }
 
-TEST_CASE("a gap on either clock is found once")
+TEST_CASE("a gap on either clock is detected once")
 {
     const auto wall = std::chrono::system_clock::time_point();
     pause_detector detector(start, wall);
-    CHECK_FALSE(detector.look(start + milliseconds(900), wall + milliseconds(900)));
-    CHECK(detector.look(start + milliseconds(2'500), wall + milliseconds(2'500)));
-    CHECK_FALSE(detector.look(start + milliseconds(2'600), wall + milliseconds(2'600)));
-    // A paused VM whose steady clock stood still.
-    CHECK(detector.look(start + milliseconds(2'700), wall + milliseconds(60'000)));
+    CHECK_FALSE(detector.check(start + milliseconds(900), wall + milliseconds(900)));
+    CHECK(detector.check(start + milliseconds(2'500), wall + milliseconds(2'500)));
+    CHECK_FALSE(detector.check(start + milliseconds(2'600), wall + milliseconds(2'600)));
+    // The boot clock of a paused VM stopped, and only the wall clock shows the pause.
+    CHECK(detector.check(start + milliseconds(2'700), wall + milliseconds(60'000)));
     CHECK(detector.epoch() == 2);
 }
--- a/Tests/requests/retry-property/test.cpp
+++ b/Tests/requests/retry-property/test.cpp
@@ -1,4 +1,4 @@
-// Retries: only what is safe, never without bound.
+// Retries: only where they are safe, and always bounded.
 
 #include "policy/retry_policy.h"
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("what may have run and is not repeatable is never tried again")
+TEST_CASE("a request that may have run and is not repeatable is never retried")
 {
     CHECK(rc::check("safe retries", [] {
         retry_budget budget(100);
@@ -23,7 +23,7 @@
         question.repeatable = *rc::gen::arbitrary<bool>();
         question.answerStarted = *rc::gen::arbitrary<bool>();
         question.otherBackendLeft = *rc::gen::arbitrary<bool>();
-        question.triesMade = *rc::gen::inRange(1, 6);
+        question.attemptsMade = *rc::gen::inRange(1, 6);
         question.now = start;
         question.deadline = start + milliseconds(*rc::gen::inRange(-10, 10));
         if (!mayRetry(question, budget))
@@ -31,25 +31,25 @@
         RC_ASSERT(question.repeatable || question.last.ran == verdict::not_run);
         RC_ASSERT(!question.answerStarted);
         RC_ASSERT(question.otherBackendLeft);
-        RC_ASSERT(question.triesMade < maxTries);
+        RC_ASSERT(question.attemptsMade < maxTries);
         RC_ASSERT(question.now < question.deadline);
     }));
 }
 
-TEST_CASE("under a full outage the budget bounds the tries to 1.1 times the requests")
+TEST_CASE("under a full outage the budget bounds the attempts to 1.1 times the requests")
 {
     retry_budget budget(10);
     constexpr int requests = 10'000;
-    int tries = 0;
+    int attempts = 0;
     for (int i = 0; i < requests; ++i) {
         budget.noteRequest();
         retry_question question { notRun(failure_reason::connection_lost, ""), true, false, true, 1, start + milliseconds(100), start };
-        ++tries;
+        ++attempts;
         while (mayRetry(question, budget)) {
-            ++tries;
-            ++question.triesMade;
+            ++attempts;
+            ++question.attemptsMade;
         }
     }
-    CHECK(tries > requests);
-    CHECK(tries <= requests * 11 / 10 + 3);
+    CHECK(attempts > requests);
+    CHECK(attempts <= requests * 11 / 10 + 3);
 }
