--- a/Source/policy/engine_intake.h
+++ b/Source/policy/engine_intake.h
@@ -21,7 +21,7 @@
     // The engine refused a request and asked for none during this time. Doesn't shorten an earlier backoff.
     void noteBackoff(milliseconds, instant now);
     // The engine takes no new requests in this incarnation. True if that was not known.
-    bool noteLeaving() { return !std::exchange(m_leaving, true); }
+    bool recordLeaving() { return !std::exchange(m_leaving, true); }
     // The engine was restarted: nothing that it announced applies any more.
     void forget();
     // Accepts a request of this entry VM, or refuses it with the time after which to retry.
--- a/Tests/requests/engine-intake/test.cpp
+++ b/Tests/requests/engine-intake/test.cpp
@@ -64,8 +64,8 @@
     CHECK((refused.error().reason == failure_reason::server_backoff));
     CHECK((refused.error().retryAfter == milliseconds(2'000)));
     CHECK(intake.enter("e1", at(3'000)).has_value());
-    CHECK(intake.noteLeaving());
-    CHECK_FALSE(intake.noteLeaving());
+    CHECK(intake.recordLeaving());
+    CHECK_FALSE(intake.recordLeaving());
     CHECK((intake.enter("e1", at(3'000)).error().reason == failure_reason::leaving));
     intake.forget();
     CHECK(intake.enter("e1", at(3'000)).has_value());
