--- a/Source/agent/agent_server.cpp
+++ b/Source/agent/agent_server.cpp
@@ -265,20 +265,20 @@
     co_return failed;
 }
 
-awaitable<void> agent_server::noteLost(server_life life, const work_order& order, std::uint64_t events, instant sentAt)
+awaitable<void> agent_server::recordLost(server_incarnation life, const work_order& order, std::uint64_t events, instant sentAt)
 {
     lost_call call { order.correlation, order.fingerprint, events, sentAt, m_context.now() };
-    co_await m_engine.noteLost(std::move(life), std::move(call));
+    co_await m_engine.recordLost(std::move(life), std::move(call));
     co_await m_configuration.awaitCrashesTold();
 }
 
 std::optional<milliseconds> agent_server::takeNotice(const http_head& head)
 {
-    m_intake.noteLimit(headerAmount(head, header::limitPerSecond), m_context.now());
+    m_intake.recordReportedLimit(headerAmount(head, header::limitPerSecond), m_context.now());
     const auto backoff = backoffOf(head);
     if (backoff)
-        m_intake.noteBackoff(*backoff, m_context.now());
-    if (headerText(head, header::leaving) == "1" && m_intake.noteLeaving()) {
+        m_intake.recordBackoff(*backoff, m_context.now());
+    if (headerText(head, header::leaving) == "1" && m_intake.recordLeaving()) {
         logState("engine_leaving", "engine=" + m_settings.engine);
         asio::co_spawn(m_context.io(), awaitEngineEnd(), asio::detached);
     }
@@ -312,7 +312,7 @@
     request.erase(std::string(header::permit));
     http_call call(m_client);
     const instant sentAt = m_context.now();
-    const server_life life = m_engine.life();
+    const server_incarnation life = m_engine.life();
     // What may run only once is not cut off: its answer is kept for a repeat of the call.
     const caller_watch watch(exchange, [&call, once] {
         if (!once)
@@ -323,7 +323,7 @@
         failure failed = head.error();
         // Also where the caller has left: what had begun ends its engine all the same.
         if (failed.ran != verdict::not_run && failed.reason == failure_reason::connection_lost)
-            co_await noteLost(life, order, 0, sentAt);
+            co_await recordLost(life, order, 0, sentAt);
         if (failed.ran == verdict::not_run) {
             // Nothing listens there: what comes next is another life of the engine.
             m_intake.forget();
@@ -360,15 +360,15 @@
         m_guard.ledger().finishWithoutAnswer(*order.onceId, m_context.now());
     if (outcome.end == relay_end::whole) {
         m_context.counters().add(metric::requests_answered);
-        m_engine.noteServed(order.fingerprint);
+        m_engine.recordServed(order.fingerprint);
     }
     if (outcome.end == relay_end::caller_gone && progress.events == 0)
-        co_await noteLost(life, order, 0, sentAt);
+        co_await recordLost(life, order, 0, sentAt);
     if (outcome.end != relay_end::cut)
         co_return std::nullopt;
     failure cut = outcome.failed.value_or(failure {});
     if (cut.reason == failure_reason::connection_lost)
-        co_await noteLost(life, order, progress.events, sentAt);
+        co_await recordLost(life, order, progress.events, sentAt);
     cut.ran = verdict::may_have_run;
     cut.reason = failure_reason::backend_error;
     co_return cut;
--- a/Source/agent/agent_server.h
+++ b/Source/agent/agent_server.h
@@ -7,8 +7,8 @@
 #include "daemon/admission_gate.h"
 #include "daemon/answer_relay.h"
 #include "daemon/operator_pages.h"
-#include "policy/engine_intake.h"
-#include "policy/permit_office.h"
+#include "policy/engine_throttle.h"
+#include "policy/permit_issuer.h"
 
 namespace rampgap {
 
@@ -59,7 +59,7 @@
     // another life of it.
     awaitable<void> awaitEngineEnd();
     // The engine ended a call after so many events.
-    awaitable<void> noteLost(server_life, const work_order&, std::uint64_t events, instant sentAt);
+    awaitable<void> recordLost(server_incarnation, const work_order&, std::uint64_t events, instant sentAt);
     awaitable<void> refuse(http_exchange&, const failure&, const std::string& correlation);
     void addOwnHeaders(http::fields&);
 
@@ -71,9 +71,9 @@
     crash_history m_history;
     configuration_node m_configuration;
     engine_guard m_engine;
-    engine_intake m_intake;
+    engine_throttle m_intake;
     operator_pages m_pages;
-    permit_office m_permits;
+    permit_issuer m_permits;
     execution_guard m_guard;
     home_keeper m_keeper;
     group_member m_group;
--- a/Source/agent/engine_guard.cpp
+++ b/Source/agent/engine_guard.cpp
@@ -15,43 +15,43 @@
 
 std::optional<failure> engine_guard::barred(request_fingerprint request)
 {
-    return m_history.refuseBarred(request, m_context.now());
+    return m_history.refuseBlocked(request, m_context.now());
 }
 
-awaitable<void> engine_guard::noteLost(server_life life, lost_call call)
+awaitable<void> engine_guard::recordLost(server_incarnation life, lost_call call)
 {
     m_watch.settle();
-    m_watch.noteLost(life, m_engine, call);
+    m_watch.recordLost(life, m_engine, call);
     co_await m_watch.awaitLook(std::move(life));
 }
 
-void engine_guard::noteServed(request_fingerprint request)
+void engine_guard::recordServed(request_fingerprint request)
 {
-    m_history.noteServed(request, m_context.now());
+    m_history.recordServed(request, m_context.now());
     tell();
 }
 
-void engine_guard::onServerCrashed(const server_life& life, const std::string& address, const std::string& why, std::size_t calls)
+void engine_guard::onServerCrashed(const server_incarnation& life, const std::string& address, const std::string& why, std::size_t calls)
 {
     if (life == m_life)
         ++m_life.incarnation;
     logProblem("engine_crashed", "engine=" + address + " reason=\"" + why + "\" calls=" + std::to_string(calls));
 }
 
-void engine_guard::onCallCrashed(const server_life&, const lost_call& call)
+void engine_guard::onCallCrashed(const server_incarnation&, const lost_call& call)
 {
     logState("call_crashed", "request=" + call.requestId + " fingerprint=" + toString(call.request) + " events=" + std::to_string(call.events));
     tell();
 }
 
-void engine_guard::onLookUnanswered(const server_life&, const std::string& address, const std::string& reason)
+void engine_guard::onLookUnanswered(const server_incarnation&, const std::string& address, const std::string& reason)
 {
     logProblem("look_unanswered", "engine=" + address + " reason=\"" + reason + "\"");
 }
 
 void engine_guard::tell()
 {
-    if (m_onNews && m_history.hasNews())
+    if (m_onNews && m_history.hasUpdates())
         m_onNews();
 }
 
--- a/Source/agent/engine_guard.h
+++ b/Source/agent/engine_guard.h
@@ -18,19 +18,19 @@
     // Set if the engine may not run the request.
     std::optional<failure> barred(request_fingerprint);
     // The life of the engine that a call which is sent now goes to.
-    const server_life& life() const { return m_life; }
+    const server_incarnation& life() const { return m_life; }
     // The engine ended the call without a whole answer; returns when it is known whether it
     // crashed: the entry VM then asks.
-    awaitable<void> noteLost(server_life, lost_call);
+    awaitable<void> recordLost(server_incarnation, lost_call);
     // Nothing listened at its address.
-    void noteRefused(const server_life& life) { m_watch.noteRefused(life, m_engine); }
+    void noteRefused(const server_incarnation& life) { m_watch.noteRefused(life, m_engine); }
     // The engine ran the request to its end.
-    void noteServed(request_fingerprint);
+    void recordServed(request_fingerprint);
 
 private:
-    void onServerCrashed(const server_life&, const std::string& address, const std::string& why, std::size_t calls) override;
-    void onCallCrashed(const server_life&, const lost_call&) override;
-    void onLookUnanswered(const server_life&, const std::string& address, const std::string& reason) override;
+    void onServerCrashed(const server_incarnation&, const std::string& address, const std::string& why, std::size_t calls) override;
+    void onCallCrashed(const server_incarnation&, const lost_call&) override;
+    void onLookUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) override;
     void tell();
 
     process_context& m_context;
@@ -38,7 +38,7 @@
     crash_watch m_watch;
     std::string m_engine;
     // An engine has no number of its own: each crash that was seen ends a life.
-    server_life m_life;
+    server_incarnation m_life;
     std::function<void()> m_onNews;
 };
 
--- a/Source/agent/home_keeper.cpp
+++ b/Source/agent/home_keeper.cpp
@@ -41,15 +41,15 @@
 awaitable<void> home_keeper::loop()
 {
     for (;;) {
-        if (!m_guard.homes().settled()) {
-            for (const auto& name : m_guard.homes().proofsMissing())
+        if (!m_guard.ownership().settled()) {
+            for (const auto& name : m_guard.ownership().proofsMissing())
                 co_await askForProof(name);
         }
-        for (const auto& name : m_guard.homes().handoversMissing())
+        for (const auto& name : m_guard.ownership().handoversMissing())
             co_await askForHandover(name);
         // Last, so that the keeper answers for the ids until this agent can.
-        if (m_guard.homes().proven() && !m_memorySought)
-            co_await takeMemoryBack();
+        if (m_guard.ownership().proven() && !m_memorySought)
+            co_await restoreMemory();
         m_timer.expires_after(askInterval);
         co_await m_timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
@@ -95,7 +95,7 @@
         co_return;
     const auto reply = co_await m_peers.handover(address, makeRequest(false, false), askTimeout);
     if (reply && reply.value().sender().name() == name)
-        m_guard.homes().notePeer(standingOf(reply.value().sender()), m_context.now());
+        m_guard.ownership().notePeer(standingOf(reply.value().sender()), m_context.now());
 }
 
 awaitable<void> home_keeper::askForHandover(std::string name)
@@ -106,29 +106,29 @@
     const auto reply = co_await m_peers.handover(address, makeRequest(false, true), askTimeout);
     if (!reply || reply.value().sender().name() != name)
         co_return;
-    if (m_guard.takeHandover(answerOf(reply.value()), m_context.now()))
+    if (m_guard.acceptHandover(answerOf(reply.value()), m_context.now()))
         logState("handover", "from=" + name + " ids=" + std::to_string(reply.value().ids_size()));
 }
 
 // A keeper that does not answer may hold the memory: it is asked again for a while.
-awaitable<void> home_keeper::takeMemoryBack()
+awaitable<void> home_keeper::restoreMemory()
 {
     const bool settled = co_await askKeepers();
     m_memorySought = settled || ++m_memoryTurns >= mostMemoryTurns;
     if (m_memorySought)
-        m_guard.homes().noteNoMemory();
+        m_guard.ownership().noteNoMemory();
 }
 
 awaitable<bool> home_keeper::askKeepers()
 {
     bool allAnswered = true;
-    for (const auto& name : m_guard.homes().keepers()) {
+    for (const auto& name : m_guard.ownership().keepers()) {
         const auto reply = co_await m_peers.handover(peerAddress(name), makeRequest(true, true), askTimeout);
         if (!reply) {
             allAnswered = false;
             continue;
         }
-        if (!m_guard.takeMemoryBack(answerOf(reply.value()), m_context.now()))
+        if (!m_guard.restoreMemory(answerOf(reply.value()), m_context.now()))
             continue;
         logState("memory_back", "from=" + name + " ids=" + std::to_string(reply.value().ids_size()));
         co_return true;
@@ -140,16 +140,16 @@
 // last that is asked, so that no two agents hold the same grant.
 awaitable<void> home_keeper::giveAway()
 {
-    const auto deposit = m_guard.giveAway(m_context.now());
+    const auto deposit = m_guard.handOff(m_context.now());
     if (!deposit)
         co_return;
     wire::DepositRequest request;
     m_configuration.stamp(request);
     request.mutable_sender()->set_revision(deposit->owner.revision);
-    request.set_grant_ms(static_cast<std::uint64_t>(deposit->grantLife.count()));
+    request.set_grant_ms(static_cast<std::uint64_t>(deposit->grantLifetime.count()));
     for (const std::uint64_t hash : deposit->ids)
         request.add_ids(hash);
-    for (const auto& name : m_guard.homes().keepers()) {
+    for (const auto& name : m_guard.ownership().keepers()) {
         const auto reply = co_await m_peers.deposit(peerAddress(name), request, askTimeout);
         if (reply && reply.value().accepted()) {
             logState("ids_given_away", "to=" + name + " ids=" + std::to_string(request.ids_size()));
@@ -179,10 +179,10 @@
 {
     id_deposit deposit;
     deposit.owner = standingOf(request.sender());
-    deposit.grantLife = milliseconds(request.grant_ms());
+    deposit.grantLifetime = milliseconds(request.grant_ms());
     deposit.ids.assign(request.ids().begin(), request.ids().end());
     wire::DepositReply reply;
-    reply.set_accepted(m_guard.takeDeposit(deposit, m_context.now()));
+    reply.set_accepted(m_guard.acceptDeposit(deposit, m_context.now()));
     if (reply.accepted())
         logState("grant_accepted", "owner=" + deposit.owner.name + " ids=" + std::to_string(deposit.ids.size()));
     m_configuration.stamp(reply);
--- a/Source/agent/home_keeper.h
+++ b/Source/agent/home_keeper.h
@@ -24,7 +24,7 @@
     awaitable<void> loop();
     awaitable<void> askForProof(std::string name);
     awaitable<void> askForHandover(std::string name);
-    awaitable<void> takeMemoryBack();
+    awaitable<void> restoreMemory();
     // True once no further answer of a keeper can bring the memory back.
     awaitable<bool> askKeepers();
     std::string peerAddress(const std::string& name) const;
--- a/Source/bench/routing_lab.cpp
+++ b/Source/bench/routing_lab.cpp
@@ -194,7 +194,7 @@
             const load_report report { engine.running, static_cast<int>(engine.waiting.size()), m_runMs[id] };
             const double lag = m_case.reportLagMs;
             const instant madeAt = at(m_now);
-            plan(m_now + lag, [&table, id, report, madeAt] { table.noteAnswered(id, report, madeAt); });
+            plan(m_now + lag, [&table, id, report, madeAt] { table.recordAnswered(id, report, madeAt); });
         }
 
         routing_case m_case;
--- a/Source/daemon/configuration_node.cpp
+++ b/Source/daemon/configuration_node.cpp
@@ -180,7 +180,7 @@
 awaitable<void> configuration_node::exchangeLoop()
 {
     for (;;) {
-        m_crashes.settle(m_context.now());
+        m_crashes.expire(m_context.now());
         if (const auto peer = randomPeer())
             co_await exchangeWith(peer->address, peer->name, makeRequest());
         // Until it is ready, a process asks more often.
@@ -282,7 +282,7 @@
     addCrashes(*reply.mutable_crashes(), m_crashes.repeated(m_context.now()));
     if (mergeCrashes(request.crashes(), m_crashes, m_context.now()))
         tellCrashes();
-    addCrashes(*reply.mutable_crashes(), m_crashes.about({ request.asked_request() }, m_context.now()));
+    addCrashes(*reply.mutable_crashes(), m_crashes.recordsOf({ request.asked_request() }, m_context.now()));
     reply.set_vm_list_version(m_vms.version);
     reply.set_vm_list_epoch(m_vms.epoch);
     for (auto& text : m_chain.after(request.sender().revision())) {
@@ -336,9 +336,9 @@
     const auto isEntry = [](const peer_place& peer) { return peer.role == vm_role::entry; };
     const bool fewEntries = static_cast<std::size_t>(std::count_if(all.begin(), all.end(), isEntry)) <= toldDirectly;
     const bool few = all.size() <= toldDirectly;
-    while (m_crashes.hasNews()) {
+    while (m_crashes.hasUpdates()) {
         auto request = makeRequest();
-        addCrashes(*request.mutable_crashes(), m_crashes.takeNews(crashesPerMessage, m_context.now()));
+        addCrashes(*request.mutable_crashes(), m_crashes.takeUpdates(crashesPerMessage, m_context.now()));
         for (const auto& peer : all) {
             if (fewEntries && isEntry(peer))
                 asio::co_spawn(m_context.io(), tellEntry(peer, request), asio::detached);
--- a/Source/daemon/crash_watch.cpp
+++ b/Source/daemon/crash_watch.cpp
@@ -29,13 +29,13 @@
 {
 }
 
-void crash_watch::noteLost(const server_life& life, const std::string& address, const lost_call& call)
+void crash_watch::recordLost(const server_incarnation& life, const std::string& address, const lost_call& call)
 {
-    switch (m_detector.noteLost(life, call, m_context.now())) {
+    switch (m_detector.recordLost(life, call, m_context.now())) {
     case crash_detector::finding::crashed:
         noteCallCrashed(life, call);
         break;
-    case crash_detector::finding::look:
+    case crash_detector::finding::probe:
         asio::co_spawn(m_context.io(), look(life, address), asio::detached);
         break;
     case crash_detector::finding::wait:
@@ -43,41 +43,41 @@
     }
 }
 
-void crash_watch::noteWithdrawn(const server_life& life, const lost_call& call)
+void crash_watch::recordWithdrawn(const server_incarnation& life, const lost_call& call)
 {
-    if (m_detector.noteWithdrawn(life, call, m_context.now()))
+    if (m_detector.recordWithdrawn(life, call, m_context.now()))
         noteCallCrashed(life, call);
 }
 
-void crash_watch::noteRefused(const server_life& life, const std::string& address)
+void crash_watch::noteRefused(const server_incarnation& life, const std::string& address)
 {
-    if (m_detector.isInQuestion(life))
-        noteCrashed(life, address, "a connection to it was refused");
+    if (m_detector.isUndecided(life))
+        recordCrashed(life, address, "a connection to it was refused");
 }
 
-awaitable<void> crash_watch::awaitLook(server_life life)
+awaitable<void> crash_watch::awaitLook(server_incarnation life)
 {
     while (looking(life))
         co_await sleepFor(m_context.io(), lookPoll);
 }
 
 // After the last look a refused connection, a later life or the news of another process still tell.
-awaitable<void> crash_watch::look(server_life life, std::string address)
+awaitable<void> crash_watch::look(server_incarnation life, std::string address)
 {
-    for (int looks = 1; m_detector.looking(life); ++looks) {
+    for (int looks = 1; m_detector.isProbing(life); ++looks) {
         const auto seen = co_await lookAtServer(m_context.io(), address, m_ping);
         if (seen.sight == server_sight::gone) {
-            noteCrashed(life, address, "nothing listens at its address");
+            recordCrashed(life, address, "nothing listens at its address");
             co_return;
         }
         if (seen.sight != server_sight::unknown) {
-            m_detector.noteUndecided(life);
+            m_detector.recordUndecided(life);
             co_await confirm(life, address, m_context.now());
             co_return;
         }
         m_listener.onLookUnanswered(life, address, seen.reason);
         if (looks == mostLooks) {
-            m_detector.noteUndecided(life);
+            m_detector.recordUndecided(life);
             co_return;
         }
         co_await sleepFor(m_context.io(), betweenLooks);
@@ -85,22 +85,22 @@
 }
 
 // Nobody waits for this: it decides whether the calls had to do with an end of the server.
-awaitable<void> crash_watch::confirm(server_life life, std::string address, instant listenedAt)
+awaitable<void> crash_watch::confirm(server_incarnation life, std::string address, instant listenedAt)
 {
     co_await sleepFor(m_context.io(), longestEnd);
-    if (!m_detector.isInQuestion(life))
+    if (!m_detector.isUndecided(life))
         co_return;
     const auto seen = co_await lookAtServer(m_context.io(), address, m_ping);
-    if (seen.sight == server_sight::gone && m_detector.isInQuestion(life))
-        noteCrashed(life, address, "nothing listens at its address any more");
+    if (seen.sight == server_sight::gone && m_detector.isUndecided(life))
+        recordCrashed(life, address, "nothing listens at its address any more");
     else if (seen.sight == server_sight::answers || seen.sight == server_sight::listens)
-        m_detector.noteAlive(life, listenedAt);
+        m_detector.recordAlive(life, listenedAt);
 }
 
-void crash_watch::noteCrashed(const server_life& life, const std::string& address, const std::string& why)
+void crash_watch::recordCrashed(const server_incarnation& life, const std::string& address, const std::string& why)
 {
     const bool isKnown = m_detector.hasCrashed(life, m_context.now());
-    const auto calls = m_detector.noteCrashed(life, m_context.now());
+    const auto calls = m_detector.recordCrashed(life, m_context.now());
     if (!isKnown) {
         m_context.counters().add(metric::servers_crashed);
         m_listener.onServerCrashed(life, address, why, calls.size());
@@ -109,9 +109,9 @@
         noteCallCrashed(life, call);
 }
 
-void crash_watch::noteCallCrashed(const server_life& life, const lost_call& call)
+void crash_watch::noteCallCrashed(const server_incarnation& life, const lost_call& call)
 {
-    m_history.noteCrash(call.request, hashOf(life), call.events, m_context.now());
+    m_history.recordCrash(call.request, hashOf(life), call.events, m_context.now());
     m_context.counters().add(metric::calls_crashed);
     m_listener.onCallCrashed(life, call);
 }
--- a/Source/daemon/server_look.cpp
+++ b/Source/daemon/server_look.cpp
@@ -1,6 +1,6 @@
 #include "daemon/server_look.h"
 
-#include "policy/try_rules.h"
+#include "policy/attempt_rules.h"
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
--- a/Source/entry/entry_server.cpp
+++ b/Source/entry/entry_server.cpp
@@ -40,7 +40,7 @@
         return peer.error();
     made->m_peerServer = std::move(peer.value());
     const std::string host = hostOf(made->m_settings.process.peerListen);
-    made->m_history.setTrialChoice([raw = made.get()](request_fingerprint request) { return raw->m_configuration.isPickedEntry(toString(request)); });
+    made->m_history.setIsolatedAttemptFilter([raw = made.get()](request_fingerprint request) { return raw->m_configuration.isPickedEntry(toString(request)); });
     made->m_configuration.start(host + ":" + std::to_string(made->peerPort()));
     asio::co_spawn(context.io(), made->watchForPauses(), asio::detached);
     return made;
@@ -101,7 +101,7 @@
 // come back elsewhere long ago. Such connections are dropped unread.
 bool entry_server::lookForPause()
 {
-    const bool paused = m_pauses.look(m_context.now(), std::chrono::system_clock::now());
+    const bool paused = m_pauses.check(m_context.now(), std::chrono::system_clock::now());
     if (!paused && !m_dispatcher.takePauseSign())
         return false;
     m_context.counters().add(metric::pauses_detected);
--- a/Source/entry/request_dispatcher.cpp
+++ b/Source/entry/request_dispatcher.cpp
@@ -4,7 +4,7 @@
 #include "daemon/header_names.h"
 #include "daemon/sleep.h"
 #include "policy/home_guard.h"
-#include "policy/permit_office.h"
+#include "policy/permit_issuer.h"
 #include "policy/rendezvous.h"
 #include "policy/retry_policy.h"
 #include <boost/json.hpp>
@@ -88,7 +88,7 @@
 
 awaitable<void> request_dispatcher::dispatch(http_exchange& exchange, const caller_request& request)
 {
-    m_budget.noteRequest();
+    m_budget.recordRequest();
     std::optional<failure> failed;
     if (request.onceId)
         failed = co_await runAtHome(exchange, request);
@@ -114,7 +114,7 @@
         const bool first = tried.empty();
         if (!first) {
             const bool canResume = request.resumable && progress.begun;
-            const retry_question retry { *last, true, progress.begun && !canResume, chosen != noBackend, static_cast<int>(tried.size()), request.deadline, m_context.now() };
+            const retry_input retry { *last, true, progress.begun && !canResume, chosen != noBackend, static_cast<int>(tried.size()), request.deadline, m_context.now() };
             if (!mayRetry(retry, m_budget))
                 co_return last;
             m_context.counters().add(metric::retries);
@@ -136,13 +136,13 @@
 // A suspected request counts as being tried until it is known whether it crashed this server, too.
 awaitable<std::optional<failure>> request_dispatcher::tryAndLearn(http_exchange& exchange, const caller_request& request, backend_id id, relay_progress& progress)
 {
-    const bool isTrial = m_crashes.beginTrial(request.fingerprint, m_context.now());
+    const bool isTrial = m_crashes.beginIsolatedAttempt(request.fingerprint, m_context.now());
     auto failed = co_await tryOn(exchange, request, id, progress, {});
     const bool isLost = failed && failed->ran != verdict::not_run;
     if (isLost)
         co_await m_configuration.askAbout(request.fingerprint, m_table.view(id).name);
     if (isTrial)
-        m_crashes.endTrial(request.fingerprint, isLost, m_context.now());
+        m_crashes.endIsolatedAttempt(request.fingerprint, isLost, m_context.now());
     co_return failed;
 }
 
@@ -205,13 +205,13 @@
     if (epoch != m_pauses.epoch())
         co_return paused;
     const auto known = m_permits.find(id);
-    if (known != m_permits.end() && m_context.now() - known->second.fetchedAt < permitRenewal)
+    if (known != m_permits.end() && m_context.now() - known->second.fetchedAt < permitRenewalAge)
         co_return known->second.text;
     const instant asked = m_context.now();
     http_request ask { http::verb::get, "/rampgap/permit", 11 };
     auto response = co_await m_client.fetch(m_table.view(id).address, std::move(ask), permitTimeout);
     // A request that came before a pause must not get a permit from after it.
-    if (m_pauses.look(m_context.now(), std::chrono::system_clock::now()))
+    if (m_pauses.check(m_context.now(), std::chrono::system_clock::now()))
         m_pauseSign = true;
     if (epoch != m_pauses.epoch())
         co_return paused;
@@ -261,7 +261,7 @@
 
 void request_dispatcher::noteHead(backend_id id, const http_head& head)
 {
-    m_table.noteAnswered(id, parseLoad(headerText(head, header::load)), m_context.now());
+    m_table.recordAnswered(id, parseLoad(headerText(head, header::load)), m_context.now());
     m_context.timeline().observe(static_cast<std::uint64_t>(headerNumber(head, header::clock, 0)));
 }
 
@@ -279,7 +279,7 @@
     // The agent's clock shows a pause that this process's clocks did not.
     if (refused.reason == failure_reason::stale_permit) {
         m_context.counters().add(metric::permits_refused);
-        m_pauses.notePause();
+        m_pauses.recordPause();
         m_pauseSign = true;
     }
 }
@@ -303,7 +303,7 @@
             co_await call.readAll(65'536);
             noteRefusal(id, *failed);
         } else {
-            m_table.noteServed(id);
+            m_table.recordServed(id);
             relay_options options;
             options.wholeEvents = request.resumable;
             head.value().erase(header::load);
--- a/Source/gateway/crash_gossip.cpp
+++ b/Source/gateway/crash_gossip.cpp
@@ -33,7 +33,7 @@
 
 void crash_gossip::tell()
 {
-    if (m_spreading || !m_history.hasNews())
+    if (m_spreading || !m_history.hasUpdates())
         return;
     m_spreading = true;
     asio::co_spawn(m_context.io(), spread(), asio::detached);
@@ -43,9 +43,9 @@
 // other; telling is left to those.
 awaitable<void> crash_gossip::spread()
 {
-    while (m_history.hasNews()) {
+    while (m_history.hasUpdates()) {
         auto datagram = m_sender.makeDatagram();
-        addCrashes(*datagram.mutable_crashes(), m_history.takeNews(recordsPerDatagram, m_context.now()));
+        addCrashes(*datagram.mutable_crashes(), m_history.takeUpdates(recordsPerDatagram, m_context.now()));
         if (m_peers.self().role == peer_role::entry) {
             for (const auto& peer : m_peers.sample(peer_role::entry, fanout, m_context.random()))
                 m_sender.send(peer.host, datagram);
--- a/Source/gateway/crash_reporter.cpp
+++ b/Source/gateway/crash_reporter.cpp
@@ -22,23 +22,23 @@
     return listed && !listed->draining;
 }
 
-void crash_reporter::noteLost(const listed_backend& backend, const lost_call& call)
+void crash_reporter::recordLost(const listed_backend& backend, const lost_call& call)
 {
     if (!mayHaveCrashed(backend))
         return;
-    const server_life life = lifeOf(backend);
+    const server_incarnation life = lifeOf(backend);
     m_addresses.insert_or_assign(life, backend.address);
     // What listens there now says nothing of the life before.
     noteIfStartedAnew(life, backend.address);
-    m_watch.noteLost(life, backend.address, call);
+    m_watch.recordLost(life, backend.address, call);
 }
 
-void crash_reporter::noteWithdrawn(const listed_backend& backend, const lost_call& call)
+void crash_reporter::recordWithdrawn(const listed_backend& backend, const lost_call& call)
 {
     if (!mayHaveCrashed(backend))
         return;
     m_addresses.insert_or_assign(lifeOf(backend), backend.address);
-    m_watch.noteWithdrawn(lifeOf(backend), call);
+    m_watch.recordWithdrawn(lifeOf(backend), call);
 }
 
 void crash_reporter::noteRefused(const listed_backend& backend)
@@ -50,27 +50,27 @@
 void crash_reporter::noteEndTold(std::uint32_t lifeHash)
 {
     if (const auto life = m_watch.findUndecided(lifeHash))
-        m_watch.noteCrashed(*life, m_addresses.at(*life), "another process saw it end");
+        m_watch.recordCrashed(*life, m_addresses.at(*life), "another process saw it end");
 }
 
-void crash_reporter::noteServed(request_fingerprint request)
+void crash_reporter::recordServed(request_fingerprint request)
 {
-    m_history.noteServed(request, m_context.now());
+    m_history.recordServed(request, m_context.now());
     tell();
 }
 
-void crash_reporter::onServerCrashed(const server_life& life, const std::string& address, const std::string& why, std::size_t calls)
+void crash_reporter::onServerCrashed(const server_incarnation& life, const std::string& address, const std::string& why, std::size_t calls)
 {
     m_log.line("server_crashed").add("backend", life.id).add("address", address).add("incarnation", life.incarnation).add("reason", why).add("calls", calls);
 }
 
-void crash_reporter::onCallCrashed(const server_life& life, const lost_call& call)
+void crash_reporter::onCallCrashed(const server_incarnation& life, const lost_call& call)
 {
     m_log.requestLine("call_crashed").add("request", call.requestId).add("fingerprint", toString(call.request)).add("backend", life.id).add("ran_ms", call.lostAt - call.sentAt).add("events", call.events);
     tell();
 }
 
-void crash_reporter::onLookUnanswered(const server_life& life, const std::string& address, const std::string& reason)
+void crash_reporter::onLookUnanswered(const server_incarnation& life, const std::string& address, const std::string& reason)
 {
     m_log.line("look_unanswered").add("backend", life.id).add("address", address).add("reason", reason);
 }
@@ -81,7 +81,7 @@
         m_onNews();
 }
 
-bool crash_reporter::startedAnew(const server_life& life, const std::string& address) const
+bool crash_reporter::startedAnew(const server_incarnation& life, const std::string& address) const
 {
     const auto* listed = m_state.backends().find(life.id);
     if (listed && listed->incarnation != life.incarnation)
@@ -90,15 +90,15 @@
     return successor && successor->id != life.id;
 }
 
-void crash_reporter::noteIfStartedAnew(const server_life& life, const std::string& address)
+void crash_reporter::noteIfStartedAnew(const server_incarnation& life, const std::string& address)
 {
     if (startedAnew(life, address))
-        m_watch.noteCrashed(life, address, "it was started anew");
+        m_watch.recordCrashed(life, address, "it was started anew");
 }
 
 void crash_reporter::logBarred()
 {
-    const auto barred = m_history.barred(m_context.now());
+    const auto barred = m_history.blocked(m_context.now());
     const std::set<request_fingerprint> now(barred.begin(), barred.end());
     std::set<request_fingerprint> seen;
     for (const auto& [record, age] : m_history.repeated(m_context.now())) {
@@ -118,7 +118,7 @@
     for (const auto& life : m_watch.undecided())
         noteIfStartedAnew(life, m_addresses.at(life));
     m_watch.settle();
-    m_history.settle(m_context.now());
+    m_history.expire(m_context.now());
     logBarred();
     const auto left = m_watch.undecided();
     std::erase_if(m_addresses, [&left](const auto& held) { return std::find(left.begin(), left.end(), held.first) == left.end(); });
--- a/Source/gateway/gateway_process.cpp
+++ b/Source/gateway/gateway_process.cpp
@@ -95,9 +95,9 @@
         return opened.error();
     process->m_state.onConfiguration([raw = process.get()] { raw->applyLimits(); });
     process->m_state.onRestart([raw = process.get()](const listed_backend& backend) { raw->m_dispatcher.noteRestart(backend); });
-    process->m_backpressure.limits.onQuestions([raw = process.get()] { raw->m_peers->askForGrants(); });
+    process->m_backpressure.limits.onGrantQuestions([raw = process.get()] { raw->m_peers->askForGrants(); });
     process->m_dispatcher.onCrash([raw = process.get()] { raw->m_peers->tellCrashes(); });
-    process->m_history.setTrialChoice([raw = process.get()](request_fingerprint request) { return raw->m_peers->peers().isPickedEntry(toString(request)); });
+    process->m_history.setIsolatedAttemptFilter([raw = process.get()](request_fingerprint request) { return raw->m_peers->peers().isPickedEntry(toString(request)); });
     process->m_follower.setWanted([raw = process.get()] { return raw->wantsToRead(); });
     process->m_follower.setReadersBeside([raw = process.get()] { return !isReader(raw->m_peers->peers(), {}); });
     process->m_follower.onNews([raw = process.get()] { raw->m_peers->announceState(); });
@@ -207,7 +207,7 @@
         noteReadiness();
         const peer_table& peers = m_peers->peers();
         m_dispatcher.settle();
-        m_dispatcher.setSharers(peers.count(peer_role::entry) + 1, peers.mostEntries());
+        m_dispatcher.setSharingProcesses(peers.count(peer_role::entry) + 1, peers.mostEntries());
         if (tick % ticksPerReload == 0)
             reload();
     }
--- a/Source/gateway/limit_exchange.cpp
+++ b/Source/gateway/limit_exchange.cpp
@@ -13,7 +13,7 @@
     // Who asked the wrong one, for want of news of the fleet, is to ask again after that.
     constexpr milliseconds wrongArbiterPause { 250 };
 
-    void addWords(gateway::peer_datagram& datagram, const limit_words& words, instant now)
+    void addWords(gateway::peer_datagram& datagram, const reported_limits& words, instant now)
     {
         for (const auto& [server, word] : words) {
             if (datagram.limits_size() >= static_cast<int>(wordsPerDatagram))
@@ -22,14 +22,14 @@
             told->set_backend_hash(server);
             if (word.perSecond)
                 told->set_per_second(static_cast<float>(*word.perSecond));
-            told->set_age_ms(wholeMilliseconds(now - word.saidAt));
+            told->set_age_ms(wholeMilliseconds(now - word.reportedAt));
         }
     }
 
     // What this process knows of the server goes along with each question and answer.
     void addWord(gateway::peer_datagram& datagram, const server_limits& limits, server_hash server, instant now)
     {
-        if (const auto word = limits.wordOf(server, now))
+        if (const auto word = limits.reportOf(server, now))
             addWords(datagram, { { server, *word } }, now);
     }
 
@@ -59,12 +59,12 @@
 
 void limit_exchange::addNews(gateway::peer_datagram& datagram) const
 {
-    addWords(datagram, m_limits.news(m_context.now()), m_context.now());
+    addWords(datagram, m_limits.recentChanges(m_context.now()), m_context.now());
 }
 
 void limit_exchange::addKnown(gateway::peer_datagram& datagram) const
 {
-    addWords(datagram, m_limits.known(wordsPerDatagram, m_context.now()), m_context.now());
+    addWords(datagram, m_limits.currentLimits(wordsPerDatagram, m_context.now()), m_context.now());
 }
 
 void limit_exchange::ask()
@@ -74,7 +74,7 @@
     for (const auto& question : m_limits.takeQuestions()) {
         const std::string arbiter = m_peers.pickedEntry(arbiterKey(question.server));
         if (arbiter == m_peers.self().host) {
-            m_limits.noteGranted(answerTo(question, arbiter), now);
+            m_limits.recordGranted(answerTo(question, arbiter), now);
             continue;
         }
         auto& datagram = byArbiter.try_emplace(arbiter, m_sender.makeDatagram()).first->second;
@@ -92,7 +92,7 @@
 {
     takeWords(datagram, host);
     for (const auto& told : datagram.grant_answers())
-        m_limits.noteGranted({ told.backend_hash(), static_cast<int>(told.granted()), milliseconds(told.ask_again_ms()) }, m_context.now());
+        m_limits.recordGranted({ told.backend_hash(), static_cast<int>(told.granted()), milliseconds(told.ask_again_ms()) }, m_context.now());
     if (!datagram.grant_questions().empty())
         m_sender.send(host, answersTo(datagram, host));
 }
@@ -104,7 +104,7 @@
         const server_hash server = told.backend_hash();
         const auto before = m_limits.limitOf(server, now);
         const auto perSecond = told.has_per_second() ? std::optional<double>(told.per_second()) : std::nullopt;
-        m_limits.noteTold(server, { perSecond, now - milliseconds(told.age_ms()) }, now);
+        m_limits.mergeReport(server, { perSecond, now - milliseconds(told.age_ms()) }, now);
         const auto after = m_limits.limitOf(server, now);
         if (before.has_value() != after.has_value())
             m_log.line("server_limit").add("backend_hash", server).add("limit_per_s", after.value_or(-1)).add("source", "peer " + host).add("age_ms", told.age_ms());
@@ -125,7 +125,7 @@
 grant_answer limit_exchange::answerTo(const grant_question& question, const std::string& host)
 {
     const instant now = m_context.now();
-    m_office.noteFleet(m_peers.count(peer_role::entry) + 1, now);
+    m_office.recordFleetSize(m_peers.count(peer_role::entry) + 1, now);
     if (!isArbiter(question.server))
         return { question.server, 0, wrongArbiterPause };
     const auto limit = m_limits.limitOf(question.server, now);
--- a/Source/gateway/limit_exchange.h
+++ b/Source/gateway/limit_exchange.h
@@ -4,7 +4,7 @@
 #include "daemon/decision_log.h"
 #include "daemon/process_context.h"
 #include "gateway/datagram_sender.h"
-#include "policy/grant_office.h"
+#include "policy/limit_arbiter.h"
 #include "policy/peer_table.h"
 
 namespace rampgap {
@@ -33,7 +33,7 @@
     server_limits& m_limits;
     const peer_table& m_peers;
     datagram_sender& m_sender;
-    grant_office m_office;
+    limit_arbiter m_office;
 };
 
 } // namespace rampgap
--- a/Source/gateway/place_giver.cpp
+++ b/Source/gateway/place_giver.cpp
@@ -17,10 +17,10 @@
 
 place_giver::desk::desk(process_context& context)
     : gate(context, admission_limits {}, shedding)
-    , firstEvent(priorFirstEvent)
-    , run(priorRun)
+    , firstEvent(initialFirstEventDelay)
+    , run(initialRunTime)
 {
-    gate.reserve(lastChanceUrgency, lastChanceNth);
+    gate.reserve(lastChancePriority, lastChanceNth);
 }
 
 place_giver::place_giver(process_context& context, fleet_state& state, load_board& loads, group_board& groups, const server_backpressure& backpressure)
@@ -39,20 +39,20 @@
     const instant now = m_context.now();
     desk& own = deskOf(request.service);
     setSlots(request, own);
-    admission_wait_question question;
+    admission_wait_input question;
     question.begun = begun;
-    question.placesFree = !own.gate.full();
+    question.slotsFree = !own.gate.full();
     question.latencyTarget = request.route.latencyTarget;
-    question.firstEvent = std::min(own.firstEvent.value(), request.route.gapTarget * firstEventGaps);
+    question.firstEvent = std::min(own.firstEvent.value(), request.route.gapTarget * firstEventPasses);
     question.run = own.run.mean();
     question.waited = request.waited(now);
     question.timeLeft = request.timeLeft(now);
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.firstTime = request.isFirstTime() && !again;
-    admission_request asked { request.workspace, begunUrgency, now };
+    admission_request asked { request.workspace, resumedStreamPriority, now };
     failure refused = notRun(failure_reason::queue_full, "no turn came in time");
     for (const auto& stage : planAdmission(question)) {
-        asked.priority = stage.urgency;
+        asked.priority = stage.priority;
         asked.deadline += stage.longest;
         auto place = co_await enter(own.gate, asked, exchange);
         if (place || exchange.callerGone())
@@ -60,7 +60,7 @@
         refused = place.error();
     }
     if (refused.reason == failure_reason::queue_full && !begun)
-        refused.retryAfter = backlogPause(request.timeLeft(m_context.now()), std::uniform_real_distribution<double>(0, 1)(m_context.random()));
+        refused.retryAfter = backlogRetryDelay(request.timeLeft(m_context.now()), std::uniform_real_distribution<double>(0, 1)(m_context.random()));
     co_return refused;
 }
 
@@ -70,7 +70,7 @@
     const milliseconds gap = timelyPass(request.route.gapTarget);
     const pool_question question { request.service, request.costs, gap, own.run.mean(), now };
     const pool_load load = poolLoad(question, m_state.backends(), m_loads, m_groups, m_backpressure);
-    own.busyPart = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
+    own.busyFraction = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
     own.gate.setSlots(admissionShare({ load.toRun, load.requests, own.gate.queue().running(), m_entries, m_groups.openFor(request.service, now) }));
 }
 
--- a/Source/gateway/place_giver.h
+++ b/Source/gateway/place_giver.h
@@ -22,7 +22,7 @@
     // chance. Plain services need no place.
     awaitable<result<admission_place>> take(http_exchange&, const admitted_request&, bool begun, bool again);
     // Part of the places of the service that were taken when the last request came.
-    double busyPart(const std::string& service) { return deskOf(service).busyPart; }
+    double busyFraction(const std::string& service) { return deskOf(service).busyFraction; }
     // Entry VMs at work, this one included.
     void setEntries(std::size_t entries) { m_entries = entries; }
     // What a request met after it had its place.
@@ -43,7 +43,7 @@
         // From a place to the first event, and to the end of the answer.
         delay_estimate firstEvent;
         delay_estimate run;
-        double busyPart = 0;
+        double busyFraction = 0;
     };
 
     desk& deskOf(const std::string& service);
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -2,9 +2,9 @@
 
 #include "daemon/caller_watch.h"
 #include "gateway/held_caller.h"
+#include "policy/attempt_rules.h"
 #include "policy/group_wait.h"
 #include "policy/silence_limit.h"
-#include "policy/try_rules.h"
 #include <algorithm>
 
 namespace rampgap {
@@ -60,7 +60,7 @@
 
 awaitable<void> upstream_dispatcher::dispatch(http_exchange& exchange, const admitted_request& request)
 {
-    m_budget.noteRequest(request.service, m_context.now());
+    m_budget.recordRequest(request.service, m_context.now());
     progress state;
     state.fingerprint = fingerprintOf(exchange.request().method_string(), exchange.request().target(), request.said.key, exchange.request().body());
     state.relay.lastEventId = request.said.lastEventId;
@@ -141,12 +141,12 @@
 // refusal would send it away for a minute.
 awaitable<std::optional<failure>> upstream_dispatcher::refusalOf(http_exchange& exchange, const admitted_request& request, const progress& state)
 {
-    if (const auto until = m_history.undecidedUntil(state.fingerprint, m_context.now())) {
-        std::function<bool()> undecided = [this, &state] { return m_history.undecidedUntil(state.fingerprint, m_context.now()).has_value(); };
+    if (const auto until = m_history.clearancePendingUntil(state.fingerprint, m_context.now())) {
+        std::function<bool()> undecided = [this, &state] { return m_history.clearancePendingUntil(state.fingerprint, m_context.now()).has_value(); };
         co_await holdCaller(m_context, exchange, std::move(undecided), std::min(*until, request.deadline), groupPoll);
     }
     auto refused = m_history.refuse({ state.fingerprint, closesGroup(request), state.runs > 0 }, m_context.now());
-    const auto whyNot = refused ? std::string_view() : m_history.whyLetThrough(state.fingerprint, m_context.now());
+    const auto whyNot = refused ? std::string_view() : m_history.clearanceReason(state.fingerprint, m_context.now());
     if (refused)
         refused->ran = state.worst;
     else if (!whyNot.empty())
@@ -186,10 +186,10 @@
     co_return failure { state.worst, failure_reason::no_backend, "no expert group of the service has been open for " + std::to_string(m_groups.closedFor(request.service, m_context.now()).count()) + " ms", decision.retryAfter };
 }
 
-void upstream_dispatcher::setSharers(std::size_t entries, std::size_t mostEntries)
+void upstream_dispatcher::setSharingProcesses(std::size_t entries, std::size_t mostEntries)
 {
     m_places.setEntries(entries);
-    m_budget.setSharers(mostEntries);
+    m_budget.setSharingProcesses(mostEntries);
 }
 
 void upstream_dispatcher::noteRestart(const listed_backend& backend)
@@ -204,14 +204,14 @@
 bool upstream_dispatcher::mayRepeat(const admitted_request& request, const progress& state, const try_outcome& last)
 {
     const bool resumable = request.route.repeat == repeat_rule::streaming && request.route.resumable;
-    return mayTryAgain({ last.failed->ran, request.route.repeatable(), resumable, request.route.maxAttempts, state.runs, state.tried.all.size(), state.relay.begun });
+    return mayAttemptAgain({ last.failed->ran, request.route.repeatable(), resumable, request.route.maxAttempts, state.runs, state.tried.all.size(), state.relay.begun });
 }
 
 bool upstream_dispatcher::takeRetry(const admitted_request& request, const try_outcome& last)
 {
     if (last.result == try_result::unreachable)
         return true;
-    if (!m_budget.take(request.service, m_context.now())) {
+    if (!m_budget.tryConsume(request.service, m_context.now())) {
         m_log.requestLine("retry_denied").add("request", request.said.id).add("reason", "the shared retry budget is used up").add("service", request.service);
         return false;
     }
@@ -236,18 +236,18 @@
 instant upstream_dispatcher::headDeadlineOf(const admitted_request& request, const progress& state, instant sentAt)
 {
     const bool mayRepeat = request.route.repeatable() && state.runs + 1 < request.route.maxAttempts;
-    if (!mayRepeat || !m_budget.has(request.service, sentAt))
+    if (!mayRepeat || !m_budget.allowsRetry(request.service, sentAt))
         return request.deadline;
     if (request.route.repeat == repeat_rule::idempotent)
         return std::min(request.deadline, sentAt + silentTargets * request.route.latencyTarget);
     if (!request.costs || state.relay.begun)
         return request.deadline;
-    first_event_question question;
-    question.usual = m_places.usualFirstEvent(request.service);
+    first_event_input question;
+    question.typicalDelay = m_places.usualFirstEvent(request.service);
     question.latencyTarget = request.route.latencyTarget;
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.waited = request.waited(sentAt);
-    question.busyPart = m_places.busyPart(request.service);
+    question.busyFraction = m_places.busyFraction(request.service);
     const auto limit = firstEventLimit(question);
     return limit ? std::min(request.deadline, sentAt + *limit) : request.deadline;
 }
@@ -263,7 +263,7 @@
         call.useFreshConnection();
     std::int64_t unread = request.said.promptTokens;
     const std::uint64_t eventsBefore = state.relay.events;
-    const bool isTrial = m_history.beginTrial(state.fingerprint, sentAt);
+    const bool isTrial = m_history.beginIsolatedAttempt(state.fingerprint, sentAt);
     m_loads.noteSent(backend.id, unread, sentAt);
 
     const instant headDeadline = headDeadlineOf(request, state, sentAt);
@@ -287,7 +287,7 @@
     if (underWay.takenBack() && outcome.failed)
         outcome = { mayHaveRun(failure_reason::crashes_servers, "a server crashed under a copy of this request"), try_result::failed };
     if (outcome.result == try_result::answered && !exchange.callerGone())
-        m_crashes.noteServed(state.fingerprint);
+        m_crashes.recordServed(state.fingerprint);
     if (request.costs && outcome.result == try_result::answered && !exchange.callerGone())
         m_places.noteEnd(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
     if (!exchange.callerGone() && !underWay.ended() && !underWay.takenBack()) {
@@ -297,11 +297,11 @@
     const duration silence = m_context.now() - std::max(sentAt, state.relay.newestBytesAt);
     const lost_call lost { request.said.id, state.fingerprint, state.relay.events - eventsBefore, sentAt, m_context.now() };
     if (exchange.callerGone() ? silence >= longSilence : endedByServer(outcome))
-        m_crashes.noteLost(backend, lost);
+        m_crashes.recordLost(backend, lost);
     else if (isSent && lost.events == 0 && (exchange.callerGone() || underWay.takenBack()))
-        m_crashes.noteWithdrawn(backend, lost);
+        m_crashes.recordWithdrawn(backend, lost);
     if (isTrial)
-        m_history.endTrial(state.fingerprint, endedByServer(outcome), m_context.now());
+        m_history.endIsolatedAttempt(state.fingerprint, endedByServer(outcome), m_context.now());
     logTry(request, state, backend, outcome, sentAt);
     co_return outcome;
 }
@@ -329,12 +329,12 @@
     options.wholeEvents = true;
     options.bufferUnframed = true;
     options.deadline = request.deadline;
-    const bool mayGoOnElsewhere = request.route.resumable && state.runs < request.route.maxAttempts && m_budget.has(request.service, sentAt);
+    const bool mayGoOnElsewhere = request.route.resumable && state.runs < request.route.maxAttempts && m_budget.allowsRetry(request.service, sentAt);
     if (streams && mayGoOnElsewhere)
         options.silenceLimit = streamSilenceLimit(m_groups.openElsewhere(request.service, backendHash(backend.id), sentAt));
     options.onFirstBytes = [&, sentAt] {
         underWay.noteBegun();
-        m_crashes.noteAnswered(backend, sentAt);
+        m_crashes.recordAnswered(backend, sentAt);
         m_context.counters().observe(latency::first_byte, m_context.now() - request.receivedAt);
         m_places.noteFirstEvent(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
         m_loads.noteBegun(backend.id, unread);
@@ -373,7 +373,7 @@
 // copy can be saved, and that group with it.
 void upstream_dispatcher::takeBackCopies(request_fingerprint request)
 {
-    if (!m_history.isPutOff(request, m_context.now()))
+    if (!m_history.isBlockedOrSuspected(request, m_context.now()))
         return;
     const std::size_t taken = m_calls.takeBack(request);
     if (taken > 0)
--- a/Source/gateway/upstream_dispatcher.h
+++ b/Source/gateway/upstream_dispatcher.h
@@ -19,7 +19,7 @@
     // Answers the exchange, whatever happens.
     awaitable<void> dispatch(http_exchange&, const admitted_request&);
     // `entries`: entry VMs at work; `mostEntries`: those that may share the retry budget.
-    void setSharers(std::size_t entries, std::size_t mostEntries);
+    void setSharingProcesses(std::size_t entries, std::size_t mostEntries);
 
     // The server was started again under its id: what it had taken is lost.
     void noteRestart(const listed_backend&);
--- a/Source/gateway/upstream_picker.cpp
+++ b/Source/gateway/upstream_picker.cpp
@@ -41,7 +41,7 @@
     std::vector<server_hash> servers;
     if (m_backpressure.limits.any())
         servers = serversOf(request.service);
-    m_backpressure.limits.want(request.service, servers, request.priority, m_context.now());
+    m_backpressure.limits.requestGrants(request.service, servers, request.priority, m_context.now());
     const instant until = m_context.now() + longestGrantWait;
     std::string id = choose(request, tried);
     while (id.empty() && m_context.now() < until && awaitsGrant(servers) && !exchange.callerGone()) {
@@ -50,7 +50,7 @@
         id = choose(request, tried);
     }
     if (!id.empty())
-        m_backpressure.use(backendHash(id), m_context.now());
+        m_backpressure.recordSent(backendHash(id), m_context.now());
     co_return id;
 }
 
@@ -92,9 +92,9 @@
     const bool limited = std::any_of(servers.begin(), servers.end(), [&](server_hash server) { return m_backpressure.limits.limitOf(server, now).has_value(); });
     if (!limited)
         return notRun(failure_reason::no_backend, "no backend server is listed for the service", noBackendRetryAfter);
-    m_backpressure.limits.noteUnserved(request.priority, now);
+    m_backpressure.limits.recordUnserved(request.priority, now);
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_context.random());
-    return notRun(failure_reason::queue_full, "the service's servers take no more requests now", backlogPause(request.timeLeft(now), draw));
+    return notRun(failure_reason::queue_full, "the service's servers take no more requests now", backlogRetryDelay(request.timeLeft(now), draw));
 }
 
 // Another server's words are not those of the one that was asked, nor are bytes that are no answer.
@@ -107,11 +107,11 @@
     if (notice.leaving && m_state.backends().noteLeaving(backend.id, now))
         m_log.line("backend_leaving").add("backend", backend.id).add("source", "answer");
     if (notice.backoff)
-        m_backpressure.backoffs.noteAsked(server, *notice.backoff, now);
+        m_backpressure.backoffs.recordBackoff(server, *notice.backoff, now);
     else
-        m_backpressure.backoffs.noteAnswered(server, now);
+        m_backpressure.backoffs.recordAnswered(server, now);
     const auto before = m_backpressure.limits.limitOf(server, now);
-    m_backpressure.limits.noteAnswer(server, notice.limitPerSecond, now);
+    m_backpressure.limits.recordAnswer(server, notice.limitPerSecond, now);
     if (before.has_value() != notice.limitPerSecond.has_value())
         m_log.line("server_limit").add("backend", backend.id).add("backend_hash", server).add("limit_per_s", notice.limitPerSecond.value_or(-1)).add("source", "answer");
 }
--- a/Source/model/entry_model.cpp
+++ b/Source/model/entry_model.cpp
@@ -1,9 +1,9 @@
 #include "model/entry_model.h"
 
 #include "policy/admission_share.h"
+#include "policy/attempt_rules.h"
 #include "policy/group_wait.h"
 #include "policy/silence_limit.h"
-#include "policy/try_rules.h"
 #include <algorithm>
 
 namespace rampgap::model {
@@ -31,8 +31,8 @@
     , m_loads(loadReportLife)
     , m_groups(groupNewsLife)
     , m_queue(startLimits)
-    , m_firstEvent(priorFirstEvent)
-    , m_run(priorRun)
+    , m_firstEvent(initialFirstEventDelay)
+    , m_run(initialRunTime)
     , m_budget({}, instant {})
 {
     // Long at work: it has its part of the retry budget.
@@ -52,11 +52,11 @@
     m_groups = group_board(groupNewsLife);
     m_queue = admission_queue(startLimits);
     m_queue.setShedding(false);
-    m_queue.reserve(lastChanceUrgency, m_ways.lastChanceNth);
-    m_firstEvent = delay_estimate(priorFirstEvent);
-    m_run = delay_estimate(priorRun);
+    m_queue.reserve(lastChancePriority, m_ways.lastChanceNth);
+    m_firstEvent = delay_estimate(initialFirstEventDelay);
+    m_run = delay_estimate(initialRunTime);
     m_budget = shared_retry_budget({ m_scenario.retryRatio, m_scenario.retryAllowance, milliseconds(10'000), 0.8 }, startedAt);
-    m_budget.setSharers(m_scenario.entries);
+    m_budget.setSharingProcesses(m_scenario.entries);
     m_backends = backend_directory();
     for (const auto& each : m_listed)
         m_backends.list(each);
@@ -94,7 +94,7 @@
 
 void entry_model::take(const model_request& request)
 {
-    m_budget.noteRequest(service, m_events.now());
+    m_budget.recordRequest(service, m_events.now());
     attempt& made = m_attempts[request.id];
     made.request = request;
     made.receivedAt = m_events.now();
@@ -118,7 +118,7 @@
 bool entry_model::mayRepeat(const attempt& of) const
 {
     const verdict ran = of.mayHaveRun ? verdict::may_have_run : verdict::not_run;
-    return mayTryAgain({ ran, true, true, m_scenario.maxAttempts, of.runs, of.tried.size(), of.delivered > 0 });
+    return mayAttemptAgain({ ran, true, true, m_scenario.maxAttempts, of.runs, of.tried.size(), of.delivered > 0 });
 }
 
 void entry_model::next(attempt& of)
@@ -159,11 +159,11 @@
 void entry_model::askPlace(attempt& of)
 {
     setSlots();
-    admission_wait_question question;
+    admission_wait_input question;
     question.begun = of.delivered > 0;
-    question.placesFree = m_queue.running() < m_slots;
+    question.slotsFree = m_queue.running() < m_slots;
     question.latencyTarget = m_scenario.latencyTarget;
-    question.firstEvent = std::min(m_firstEvent.value(), m_scenario.gapTarget * firstEventGaps);
+    question.firstEvent = std::min(m_firstEvent.value(), m_scenario.gapTarget * firstEventPasses);
     question.run = m_run.mean();
     question.waited = waited(of);
     question.timeLeft = timeLeft(of);
@@ -179,13 +179,13 @@
     ++of.step;
     if (of.stages.empty()) {
         const double draw = std::uniform_real_distribution<double>(0, 1)(m_random);
-        return refuse(of, backlogPause(timeLeft(of), draw));
+        return refuse(of, backlogRetryDelay(timeLeft(of), draw));
     }
     const admission_stage stage = of.stages.front();
     of.stages.erase(of.stages.begin());
     admission_outcome outcome;
     const instant until = m_events.now() + stage.longest;
-    const admission_id place = m_queue.offer({ workspace, stage.urgency, until }, m_events.now(), outcome);
+    const admission_id place = m_queue.offer({ workspace, stage.priority, until }, m_events.now(), outcome);
     of.place = place;
     m_waiting[place] = of.request.id;
     later(of, stage.longest, [this, place](attempt& held) {
@@ -234,7 +234,7 @@
     ++of.step;
     const instant now = m_events.now();
     if (of.last && *of.last != try_result::unreachable) {
-        if (!m_budget.take(service, now))
+        if (!m_budget.tryConsume(service, now))
             return refuse(of, fullRetryAfter);
         ++m_secondTries;
     }
@@ -278,7 +278,7 @@
 
 bool entry_model::mayGoElsewhere(const attempt& of)
 {
-    return of.runs < m_scenario.maxAttempts && m_budget.has(service, m_events.now());
+    return of.runs < m_scenario.maxAttempts && m_budget.allowsRetry(service, m_events.now());
 }
 
 void entry_model::watchFirstEvent(attempt& of)
--- a/Source/policy/admission_share.cpp
+++ b/Source/policy/admission_share.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-int admissionShare(const admission_share_question& input)
+int admissionShare(const admission_share_input& input)
 {
     const auto entries = static_cast<double>(std::max<std::size_t>(1, input.entries));
     const double shared = input.capacity * sharedFraction;
--- a/Source/policy/admission_share.h
+++ b/Source/policy/admission_share.h
@@ -7,7 +7,7 @@
 
 namespace rampgap {
 
-struct admission_share_question {
+struct admission_share_input {
     // Requests that the listed engines can run at once and still be on time.
     int capacity = 0;
     // Requests at the engines by the latest counts, those of this entry VM included.
@@ -24,6 +24,6 @@
 // moment at which it opens. Each entry VM gets an equal part of the capacity and may use an equal part
 // of what is free as well, so that all of them together send about the capacity. This bounds the
 // queues at the engines without messages between entry VMs.
-int admissionShare(const admission_share_question&);
+int admissionShare(const admission_share_input&);
 
 } // namespace rampgap
--- a/Source/policy/admission_wait.cpp
+++ b/Source/policy/admission_wait.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-admission_wait planAdmissionWait(const admission_wait_question& input)
+admission_wait planAdmissionWait(const admission_wait_input& input)
 {
     constexpr milliseconds none { 0 };
     admission_wait wait;
@@ -28,19 +28,19 @@
     return wait;
 }
 
-std::vector<admission_stage> planAdmission(const admission_wait_question& input)
+std::vector<admission_stage> planAdmission(const admission_wait_input& input)
 {
     if (input.begun)
-        return { { begunUrgency, std::min(input.timeLeft, resumeWait) } };
+        return { { resumedStreamPriority, std::min(input.timeLeft, resumeWait) } };
     // With a slot free no wait has to be predicted, and only requests that are sent show how long the
     // first event takes now.
-    if (input.placesFree)
-        return { { timelyUrgency, input.timeLeft } };
+    if (input.slotsFree)
+        return { { timelyPriority, input.timeLeft } };
     const admission_wait wait = planAdmissionWait(input);
     std::vector<admission_stage> stages;
     if (wait.timely > milliseconds(0))
-        stages.push_back({ timelyUrgency, wait.timely });
-    stages.push_back({ input.firstTime ? lateUrgency : lastChanceUrgency, wait.late });
+        stages.push_back({ timelyPriority, wait.timely });
+    stages.push_back({ input.firstTime ? latePriority : lastChancePriority, wait.late });
     return stages;
 }
 
@@ -49,7 +49,7 @@
     return timeLeftAtFirst >= fullTime * firstCallTenths / 10;
 }
 
-milliseconds backlogPause(milliseconds timeLeft, double draw)
+milliseconds backlogRetryDelay(milliseconds timeLeft, double draw)
 {
     const auto longest = static_cast<double>(longestPause(timeLeft).count());
     return milliseconds(static_cast<std::int64_t>(longest * (minPauseFraction + (1 - minPauseFraction) * draw)));
--- a/Source/policy/admission_wait.h
+++ b/Source/policy/admission_wait.h
@@ -10,12 +10,12 @@
 // Priorities of requests that wait for a slot, served in this order: interrupted streams that are to
 // be resumed, requests that can still be on time, requests that were refused before and may not get
 // another chance, and all others.
-inline constexpr int begunUrgency = 1;
-inline constexpr int timelyUrgency = 2;
-inline constexpr int lastChanceUrgency = 3;
-inline constexpr int lateUrgency = 4;
+inline constexpr int resumedStreamPriority = 1;
+inline constexpr int timelyPriority = 2;
+inline constexpr int lastChancePriority = 3;
+inline constexpr int latePriority = 4;
 
-// Every fourth slot that becomes free is reserved for lastChanceUrgency: after a closure, requests that
+// Every fourth slot that becomes free is reserved for lastChancePriority: after a closure, requests that
 // can be on time would take all slots for two to three seconds. In a replay of 1,900 callers around an
 // opening, 115 were lost without the reservation, none with every fourth slot, 47 with every sixth;
 // 1,674 were on time without it, 1,551 with every fourth slot, 1,394 with every second.
@@ -23,13 +23,13 @@
 
 // Assumed time from getting a slot to the first event until one was observed: the prompt, two passes
 // of full ranks by the published figures of current engines, and a round trip.
-inline constexpr milliseconds priorFirstEvent { 200 };
+inline constexpr milliseconds initialFirstEventDelay { 200 };
 // Assumed time from getting a slot to the end of the answer until one was observed.
-inline constexpr milliseconds priorRun { 1'500 };
+inline constexpr milliseconds initialRunTime { 1'500 };
 // Passes until the first event of a request: the one under way as it gets a slot and the one that reads its prompt.
-inline constexpr int firstEventGaps = 2;
+inline constexpr int firstEventPasses = 2;
 
-struct admission_wait_question {
+struct admission_wait_input {
     // Time to the first event within which the answer has its full value for the caller.
     milliseconds latencyTarget { 0 };
     // From getting a slot to the first event, as recently observed.
@@ -47,7 +47,7 @@
     bool firstTime = true;
     // A stream that was cut off and is to be resumed.
     bool begun = false;
-    bool placesFree = false;
+    bool slotsFree = false;
 };
 
 // Two waits, one after the other: first among requests that can be on time, then behind them.
@@ -62,18 +62,18 @@
 // rate. In order of arrival all requests would be late until the backlog is gone, which at a load of
 // 0.8 of the capacity takes four times as long as the backlog took to grow. An answer on time is worth
 // twice a late one, so requests that can still be on time go first, and the backlog gets the remaining slots.
-admission_wait planAdmissionWait(const admission_wait_question&);
+admission_wait planAdmissionWait(const admission_wait_input&);
 
 // A wait at one priority, at most `longest`.
 struct admission_stage {
-    int priority = timelyUrgency;
+    int priority = timelyPriority;
     milliseconds longest { 0 };
 
     bool operator==(const admission_stage&) const = default;
 };
 
 // The stages of a request's wait, one after the other until it gets a slot.
-std::vector<admission_stage> planAdmission(const admission_wait_question&);
+std::vector<admission_stage> planAdmission(const admission_wait_input&);
 
 // True if the caller has probably not been refused before: a refused caller comes back after a pause
 // with the same deadline, and so with less time left. `fullTime`: the whole time that the route gives a request.
@@ -81,6 +81,6 @@
 
 // When a caller that got no slot is to come back: a backlog lasts longer than a few round trips, and
 // callers who return at the same moment would cause the next one. `draw`: a random number, 0 to 1.
-milliseconds backlogPause(milliseconds timeLeft, double draw);
+milliseconds backlogRetryDelay(milliseconds timeLeft, double draw);
 
 } // namespace rampgap
--- a/Source/policy/try_rules.cpp
+++ b/Source/policy/attempt_rules.cpp
@@ -1,4 +1,4 @@
-#include "policy/try_rules.h"
+#include "policy/attempt_rules.h"
 
 namespace rampgap {
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-bool mayTryAgain(const another_try_question& input)
+bool mayAttemptAgain(const further_attempt_input& input)
 {
     if (input.ran != verdict::not_run && !input.repeatable)
         return false;
--- a/Source/policy/try_rules.h
+++ b/Source/policy/attempt_rules.h
@@ -11,7 +11,7 @@
 // after a second, so trying another server is faster.
 inline constexpr milliseconds serverConnectTimeout { 250 };
 
-struct another_try_question {
+struct further_attempt_input {
     // What is known of all attempts so far together.
     verdict ran = verdict::not_run;
     // Properties of the route.
@@ -26,7 +26,7 @@
 };
 
 // Whether another attempt is safe and within the route's limit. The retry budget is checked separately.
-bool mayTryAgain(const another_try_question&);
+bool mayAttemptAgain(const further_attempt_input&);
 
 // Silence after which a stream is resumed at another server. `openElsewhere`: another expert group could
 // resume it.
--- a/Source/policy/backend_table.cpp
+++ b/Source/policy/backend_table.cpp
@@ -87,7 +87,7 @@
     ++m_views[id].ownInFlight;
 }
 
-void backend_table::noteAnswered(backend_id id, const load_report& load, instant madeAt)
+void backend_table::recordAnswered(backend_id id, const load_report& load, instant madeAt)
 {
     backend_view& view = m_views[id];
     view.load = load;
@@ -99,7 +99,7 @@
         view.state = backend_state::up;
 }
 
-void backend_table::noteServed(backend_id id)
+void backend_table::recordServed(backend_id id)
 {
     if (mayBeBack(id))
         m_views[id].state = backend_state::up;
--- a/Source/policy/backend_table.h
+++ b/Source/policy/backend_table.h
@@ -59,9 +59,9 @@
 
     void noteSent(backend_id);
     // An agent answered, with whatever verdict. `madeAt` is when its report was made.
-    void noteAnswered(backend_id, const load_report&, instant madeAt);
+    void recordAnswered(backend_id, const load_report&, instant madeAt);
     // The backend took a request: whatever was suspected of it is over.
-    void noteServed(backend_id);
+    void recordServed(backend_id);
     void noteConnectFailed(backend_id, instant now);
     void noteLeaving(backend_id, instant now);
     // Its engine takes nothing more for so long.
--- a/Source/policy/crash_detector.cpp
+++ b/Source/policy/crash_detector.cpp
@@ -19,18 +19,18 @@
 
 } // namespace
 
-std::uint32_t hashOf(const server_life& server)
+std::uint32_t hashOf(const server_incarnation& server)
 {
     return static_cast<std::uint32_t>(XXH64(server.id.data(), server.id.size(), server.incarnation));
 }
 
-bool crash_detector::hasCrashed(const server_life& server, instant now) const
+bool crash_detector::hasCrashed(const server_incarnation& server, instant now) const
 {
     const auto crashed = m_crashed.find(server);
     return crashed != m_crashed.end() && now - crashed->second < crashedLifetime;
 }
 
-crash_detector::finding crash_detector::noteLost(const server_life& server, const lost_call& call, instant now)
+crash_detector::finding crash_detector::recordLost(const server_incarnation& server, const lost_call& call, instant now)
 {
     if (hasCrashed(server, now))
         return finding::crashed;
@@ -43,7 +43,7 @@
 // A request may crash a server even after it is withdrawn. If the withdrawn call were not recorded, the
 // crash would be blamed on the requests that run beside it, and would count as evidence that this request
 // is not the cause.
-bool crash_detector::noteWithdrawn(const server_life& server, const lost_call& call, instant now)
+bool crash_detector::recordWithdrawn(const server_incarnation& server, const lost_call& call, instant now)
 {
     if (hasCrashed(server, now))
         return true;
@@ -54,7 +54,7 @@
     return false;
 }
 
-void crash_detector::noteAnswered(const server_life& server, instant sentAt)
+void crash_detector::recordAnswered(const server_incarnation& server, instant sentAt)
 {
     const auto entry = m_suspicions.find(server);
     if (entry == m_suspicions.end())
@@ -64,7 +64,7 @@
         m_suspicions.erase(entry);
 }
 
-void crash_detector::noteAlive(const server_life& server, instant then)
+void crash_detector::recordAlive(const server_incarnation& server, instant then)
 {
     const auto entry = m_suspicions.find(server);
     if (entry == m_suspicions.end())
@@ -76,14 +76,14 @@
         m_suspicions.erase(entry);
 }
 
-void crash_detector::noteUndecided(const server_life& server)
+void crash_detector::recordUndecided(const server_incarnation& server)
 {
     const auto entry = m_suspicions.find(server);
     if (entry != m_suspicions.end())
         entry->second.isProbing = false;
 }
 
-std::vector<lost_call> crash_detector::noteCrashed(const server_life& server, instant now)
+std::vector<lost_call> crash_detector::recordCrashed(const server_incarnation& server, instant now)
 {
     m_crashed.emplace(server, now);
     const auto entry = m_suspicions.find(server);
@@ -95,21 +95,21 @@
     return calls;
 }
 
-bool crash_detector::isProbing(const server_life& server) const
+bool crash_detector::isProbing(const server_incarnation& server) const
 {
     const auto entry = m_suspicions.find(server);
     return entry != m_suspicions.end() && entry->second.isProbing;
 }
 
-std::vector<server_life> crash_detector::undecided() const
+std::vector<server_incarnation> crash_detector::undecided() const
 {
-    std::vector<server_life> servers;
+    std::vector<server_incarnation> servers;
     for (const auto& [server, entry] : m_suspicions)
         servers.push_back(server);
     return servers;
 }
 
-std::optional<server_life> crash_detector::findUndecided(std::uint32_t hash) const
+std::optional<server_incarnation> crash_detector::findUndecided(std::uint32_t hash) const
 {
     const auto found = std::find_if(m_suspicions.begin(), m_suspicions.end(), [hash](const auto& entry) { return hashOf(entry.first) == hash; });
     if (found == m_suspicions.end())
--- a/Source/policy/crash_detector.h
+++ b/Source/policy/crash_detector.h
@@ -14,15 +14,15 @@
 namespace rampgap {
 
 // One incarnation of a backend server, which may be started again under the same id.
-struct server_life {
+struct server_incarnation {
     std::string id;
     std::uint64_t incarnation = 0;
 
-    auto operator<=>(const server_life&) const = default;
+    auto operator<=>(const server_incarnation&) const = default;
 };
 
 // Identifies an incarnation to other processes; 32 bits of a hash.
-std::uint32_t hashOf(const server_life&);
+std::uint32_t hashOf(const server_incarnation&);
 
 // A call that ended without a whole answer: the server broke it off, or this process withdrew it.
 struct lost_call {
@@ -47,29 +47,29 @@
         crashed,
     };
 
-    finding noteLost(const server_life&, const lost_call&, instant now);
+    finding recordLost(const server_incarnation&, const lost_call&, instant now);
     // This process ended the call. The server may have begun to run it and may still crash because of it.
     // No probe is needed. True if the server is known to have crashed.
-    bool noteWithdrawn(const server_life&, const lost_call&, instant now);
+    bool recordWithdrawn(const server_incarnation&, const lost_call&, instant now);
     // The server answered a call that was sent at `sentAt`, so calls that were withdrawn before then did not crash it.
-    void noteAnswered(const server_life&, instant sentAt);
+    void recordAnswered(const server_incarnation&, instant sentAt);
     // The server has kept listening for long: whatever broke off its calls up to `then` was no crash.
-    void noteAlive(const server_life&, instant then);
+    void recordAlive(const server_incarnation&, instant then);
     // A probe ended without a result: it got no answer, or the server still listened and so either runs
     // on or takes longer to end than the probe. There is no further probe until the next call is lost.
-    void noteUndecided(const server_life&);
+    void recordUndecided(const server_incarnation&);
     // Nothing listens at the server's address, or it was restarted. Returns the calls that it was running.
-    std::vector<lost_call> noteCrashed(const server_life&, instant now);
-    bool hasCrashed(const server_life&, instant now) const;
+    std::vector<lost_call> recordCrashed(const server_incarnation&, instant now);
+    bool hasCrashed(const server_incarnation&, instant now) const;
 
     // Calls at the server ended, and it is not known whether the server did.
-    bool isInQuestion(const server_life& server) const { return m_suspicions.contains(server); }
-    // True until the probe that `noteLost` asked for has a result.
-    bool isProbing(const server_life&) const;
+    bool isUndecided(const server_incarnation& server) const { return m_suspicions.contains(server); }
+    // True until the probe that `recordLost` asked for has a result.
+    bool isProbing(const server_incarnation&) const;
     // Incarnations of which it is not known whether they ended.
-    std::vector<server_life> undecided() const;
+    std::vector<server_incarnation> undecided() const;
     // The undecided incarnation with this hash, if any.
-    std::optional<server_life> findUndecided(std::uint32_t hash) const;
+    std::optional<server_incarnation> findUndecided(std::uint32_t hash) const;
     // Drops calls and crashes that are too old to matter.
     void expire(instant now);
 
@@ -83,8 +83,8 @@
         bool empty() const { return calls.empty() && withdrawn.empty() && !isProbing; }
     };
 
-    std::map<server_life, suspicion> m_suspicions;
-    std::map<server_life, instant> m_crashed;
+    std::map<server_incarnation, suspicion> m_suspicions;
+    std::map<server_incarnation, instant> m_crashed;
 };
 
 } // namespace rampgap
--- a/Source/policy/crash_history.cpp
+++ b/Source/policy/crash_history.cpp
@@ -44,10 +44,10 @@
 
 } // namespace
 
-std::vector<seen_crash> crash_history::unclearedCrashes(const entry& known)
+std::vector<observed_crash> crash_history::unclearedCrashes(const entry& known)
 {
-    std::vector<seen_crash> uncleared;
-    std::copy_if(known.crashes.begin(), known.crashes.end(), std::back_inserter(uncleared), [&known](const seen_crash& crash) { return !known.cleared.contains(crash.server); });
+    std::vector<observed_crash> uncleared;
+    std::copy_if(known.crashes.begin(), known.crashes.end(), std::back_inserter(uncleared), [&known](const observed_crash& crash) { return !known.cleared.contains(crash.server); });
     return uncleared;
 }
 
@@ -73,13 +73,13 @@
     return isKept ? retention : retentionOfOne;
 }
 
-void crash_history::noteCrash(request_fingerprint request, std::uint32_t server, std::uint64_t events, instant now)
+void crash_history::recordCrash(request_fingerprint request, std::uint32_t server, std::uint64_t events, instant now)
 {
     apply({ request, { { server, events < earlyEvents } }, false }, milliseconds(0), now, true);
 }
 
 // Affects only requests with recorded crashes: nearly all requests are served and never ran on a server that crashed.
-void crash_history::noteServed(request_fingerprint request, instant now)
+void crash_history::recordServed(request_fingerprint request, instant now)
 {
     const auto known = m_requests.find(request);
     if (known != m_requests.end())
@@ -129,12 +129,12 @@
         m_onChange(request);
 }
 
-std::set<seen_crash>::const_iterator crash_history::findCrash(const entry& known, std::uint32_t server)
+std::set<observed_crash>::const_iterator crash_history::findCrash(const entry& known, std::uint32_t server)
 {
-    return std::find_if(known.crashes.begin(), known.crashes.end(), [server](const seen_crash& crash) { return crash.server == server; });
+    return std::find_if(known.crashes.begin(), known.crashes.end(), [server](const observed_crash& crash) { return crash.server == server; });
 }
 
-bool crash_history::clear(entry& known, const std::vector<seen_crash>& crashes)
+bool crash_history::clear(entry& known, const std::vector<observed_crash>& crashes)
 {
     bool changed = false;
     for (const auto& crash : crashes) {
@@ -146,7 +146,7 @@
 
 // Two VMs may have seen the same crash, one of them a moment later in the answer: early takes
 // precedence. If there are more crashes than are kept, every process keeps the same ones.
-bool crash_history::add(entry& known, request_fingerprint request, const seen_crash& crash, instant crashedAt)
+bool crash_history::add(entry& known, request_fingerprint request, const observed_crash& crash, instant crashedAt)
 {
     const auto existing = findCrash(known, crash.server);
     if (existing != known.crashes.end()) {
@@ -159,7 +159,7 @@
     server.suspects.insert(request);
     if (known.crashes.size() <= maxCrashesKept)
         return true;
-    const seen_crash last = *known.crashes.rbegin();
+    const observed_crash last = *known.crashes.rbegin();
     known.crashes.erase(last);
     known.cleared.erase(last.server);
     forgetSuspect(last.server, request);
@@ -219,7 +219,7 @@
     m_changed.erase(request);
 }
 
-bool crash_history::isExplainedByOther(const seen_crash& crash, request_fingerprint request, const weight& own) const
+bool crash_history::isExplainedByOther(const observed_crash& crash, request_fingerprint request, const weight& own) const
 {
     const auto& suspects = m_servers.at(crash.server).suspects;
     return std::any_of(suspects.begin(), suspects.end(), [&](request_fingerprint other) {
@@ -228,18 +228,18 @@
     });
 }
 
-bool crash_history::hasEqualSuspect(const std::vector<seen_crash>& crashes, request_fingerprint request, const weight& own) const
+bool crash_history::hasEqualSuspect(const std::vector<observed_crash>& crashes, request_fingerprint request, const weight& own) const
 {
     const auto& suspects = m_servers.at(crashes.front().server).suspects;
     return std::any_of(suspects.begin(), suspects.end(), [&](request_fingerprint other) {
         const auto& known = m_requests.at(other);
-        return other != request && weightOf(known) == own && std::all_of(crashes.begin(), crashes.end(), [&known](const seen_crash& crash) { return known.crashes.contains(crash); });
+        return other != request && weightOf(known) == own && std::all_of(crashes.begin(), crashes.end(), [&known](const observed_crash& crash) { return known.crashes.contains(crash); });
     });
 }
 
 // A crash has one cause. A request that happened to run beside the cause no longer counts as soon as the
 // other one has crashed one server more; two that cannot be told apart are blocked only after a third crash.
-std::optional<milliseconds> crash_history::barredFor(request_fingerprint request, instant now) const
+std::optional<milliseconds> crash_history::blockedFor(request_fingerprint request, instant now) const
 {
     const auto known = m_requests.find(request);
     if (known == m_requests.end() || now - known->second.seenAt >= retentionOf(known->second))
@@ -248,8 +248,8 @@
     if (own.crashes < blockingEarlyCrashes)
         return std::nullopt;
     auto unexplained = unclearedCrashes(known->second);
-    std::erase_if(unexplained, [&](const seen_crash& crash) { return isExplainedByOther(crash, request, own); });
-    const auto early = static_cast<std::size_t>(std::count_if(unexplained.begin(), unexplained.end(), [](const seen_crash& crash) { return crash.early; }));
+    std::erase_if(unexplained, [&](const observed_crash& crash) { return isExplainedByOther(crash, request, own); });
+    const auto early = static_cast<std::size_t>(std::count_if(unexplained.begin(), unexplained.end(), [](const observed_crash& crash) { return crash.early; }));
     const bool isBlocked = unexplained.size() >= blockingCrashes || (early >= blockingEarlyCrashes && !hasEqualSuspect(unexplained, request, own));
     if (!isBlocked)
         return std::nullopt;
@@ -258,7 +258,7 @@
 
 // One other crash at the same moment proves nothing: a server may fail by itself while the request
 // crashes another, and the update that the request ran there as well may still be on its way.
-std::optional<instant> crash_history::clearedAt(const seen_crash& crash, const entry& known) const
+std::optional<instant> crash_history::clearedAt(const observed_crash& crash, const entry& known) const
 {
     const instant at = m_servers.at(crash.server).crashedAt;
     std::size_t with = 0;
@@ -306,14 +306,14 @@
     return until && now < *until;
 }
 
-std::optional<instant> crash_history::undecidedUntil(request_fingerprint request, instant now) const
+std::optional<instant> crash_history::clearancePendingUntil(request_fingerprint request, instant now) const
 {
     const auto until = assess(request, now).until;
-    const bool isUndecided = until && now < *until && *until != instant::max() && !barredFor(request, now);
+    const bool isUndecided = until && now < *until && *until != instant::max() && !blockedFor(request, now);
     return isUndecided ? until : std::nullopt;
 }
 
-std::string_view crash_history::whyLetThrough(request_fingerprint request, instant now) const
+std::string_view crash_history::clearanceReason(request_fingerprint request, instant now) const
 {
     const assessment assessed = assess(request, now);
     if (assessed.until && now < *assessed.until)
@@ -326,9 +326,9 @@
 // Where the crash of a lock-step group stops all callers for seconds, that outweighs refusing the two or
 // three other requests that had just begun beside the cause. Where a crash stops only one server, the
 // caller's retry goes on, and new copies begin one at a time.
-std::optional<failure> crash_history::refuse(const send_question& input, instant now)
+std::optional<failure> crash_history::refuse(const send_input& input, instant now)
 {
-    if (auto blocked = refuseBarred(input.request, now))
+    if (auto blocked = refuseBlocked(input.request, now))
         return blocked;
     if (!isSuspected(input.request, now))
         return std::nullopt;
@@ -345,7 +345,7 @@
     return std::nullopt;
 }
 
-bool crash_history::beginTrial(request_fingerprint request, instant now)
+bool crash_history::beginIsolatedAttempt(request_fingerprint request, instant now)
 {
     if (!isSuspected(request, now))
         return false;
@@ -353,7 +353,7 @@
     return true;
 }
 
-void crash_history::endTrial(request_fingerprint request, bool isLost, instant now)
+void crash_history::endIsolatedAttempt(request_fingerprint request, bool isLost, instant now)
 {
     if (isLost)
         m_isolatedAttempts.insert_or_assign(request, now + crashDetectionTime);
@@ -361,28 +361,28 @@
         m_isolatedAttempts.erase(request);
 }
 
-std::optional<failure> crash_history::refuseBarred(request_fingerprint request, instant now)
+std::optional<failure> crash_history::refuseBlocked(request_fingerprint request, instant now)
 {
-    const auto blockedTime = barredFor(request, now);
+    const auto blockedTime = blockedFor(request, now);
     if (!blockedTime)
         return std::nullopt;
-    noteBarred(request, now);
+    extendBlock(request, now);
     return notRun(failure_reason::crashes_servers, "several servers crashed as they began to run this request", blockedTime);
 }
 
-void crash_history::noteBarred(request_fingerprint request, instant now)
+void crash_history::extendBlock(request_fingerprint request, instant now)
 {
     const auto known = m_requests.find(request);
     if (known != m_requests.end())
         known->second.seenAt = std::max(known->second.seenAt, now);
 }
 
-aged_crashes crash_history::takeNews(std::size_t limit, instant now)
+aged_crash_records crash_history::takeUpdates(std::size_t limit, instant now)
 {
     std::vector<request_fingerprint> changedRequests(m_changed.begin(), m_changed.end());
     std::stable_sort(changedRequests.begin(), changedRequests.end(), [this](request_fingerprint a, request_fingerprint b) { return weightOf(m_requests.at(a)) > weightOf(m_requests.at(b)); });
     changedRequests.resize(std::min(limit, changedRequests.size()));
-    aged_crashes updates;
+    aged_crash_records updates;
     for (const auto request : changedRequests) {
         addRecords(updates, request, now);
         m_changed.erase(request);
@@ -403,9 +403,9 @@
     return requests;
 }
 
-aged_crashes crash_history::repeated(instant now) const
+aged_crash_records crash_history::repeated(instant now) const
 {
-    aged_crashes records;
+    aged_crash_records records;
     for (const auto request : repeatedRequests())
         addRecords(records, request, now);
     return records;
@@ -414,25 +414,25 @@
 std::vector<request_fingerprint> crash_history::blocked(instant now) const
 {
     auto requests = repeatedRequests();
-    std::erase_if(requests, [&](request_fingerprint request) { return !barredFor(request, now); });
+    std::erase_if(requests, [&](request_fingerprint request) { return !blockedFor(request, now); });
     return requests;
 }
 
-aged_crashes crash_history::recordsOf(request_fingerprint request, instant now) const
+aged_crash_records crash_history::recordsOf(request_fingerprint request, instant now) const
 {
-    aged_crashes records;
+    aged_crash_records records;
     if (m_requests.contains(request))
         addRecords(records, request, now);
     return records;
 }
 
-void crash_history::addRecords(aged_crashes& records, request_fingerprint request, instant now) const
+void crash_history::addRecords(aged_crash_records& records, request_fingerprint request, instant now) const
 {
     const auto& known = m_requests.at(request);
     const milliseconds age = since(known.seenAt, now);
     crash_record uncleared { request, unclearedCrashes(known), false };
     crash_record cleared { request, {}, true };
-    std::copy_if(known.crashes.begin(), known.crashes.end(), std::back_inserter(cleared.crashes), [&known](const seen_crash& crash) { return known.cleared.contains(crash.server); });
+    std::copy_if(known.crashes.begin(), known.crashes.end(), std::back_inserter(cleared.crashes), [&known](const observed_crash& crash) { return known.cleared.contains(crash.server); });
     for (auto& record : { std::move(uncleared), std::move(cleared) }) {
         if (!record.crashes.empty())
             records.emplace_back(record, age);
--- a/Source/policy/crash_history.h
+++ b/Source/policy/crash_history.h
@@ -17,19 +17,19 @@
 namespace rampgap {
 
 // A crash of one server that was running the request.
-struct seen_crash {
+struct observed_crash {
     // hashOf the server's incarnation.
     std::uint32_t server = 0;
     // The request had just begun. A request that crashes servers usually does so with its first step.
     bool early = false;
 
-    auto operator<=>(const seen_crash&) const = default;
+    auto operator<=>(const observed_crash&) const = default;
 };
 
 // Crashes of servers that were running one request, as processes send them to each other.
 struct crash_record {
     request_fingerprint request;
-    std::vector<seen_crash> crashes;
+    std::vector<observed_crash> crashes;
     // A server ran the request to the end after these crashes, so it did not cause them.
     bool served = false;
 
@@ -37,10 +37,10 @@
 };
 
 // Records, each with the time since its request was last seen.
-using aged_crashes = std::vector<std::pair<crash_record, milliseconds>>;
+using aged_crash_records = std::vector<std::pair<crash_record, milliseconds>>;
 
 // Input of the decision whether a request may be sent to a server.
-struct send_question {
+struct send_input {
     request_fingerprint request;
     // A crash would close a whole expert group, not only one server.
     bool closesGroup = false;
@@ -51,45 +51,45 @@
 class crash_history {
 public:
     // `events`: whole events of the answer that the server had sent.
-    void noteCrash(request_fingerprint, std::uint32_t server, std::uint64_t events, instant now);
-    void noteServed(request_fingerprint, instant now);
+    void recordCrash(request_fingerprint, std::uint32_t server, std::uint64_t events, instant now);
+    void recordServed(request_fingerprint, instant now);
     // Merges a peer's record. `age`: since the request was last seen. True if this changed anything.
     bool merge(const crash_record&, milliseconds age, instant now);
 
     // How long the request is still blocked; empty if it is not.
-    std::optional<milliseconds> barredFor(request_fingerprint, instant now) const;
+    std::optional<milliseconds> blockedFor(request_fingerprint, instant now) const;
     // The refusal for the caller of a blocked request; empty if it is not blocked. Extends the block.
-    std::optional<failure> refuseBarred(request_fingerprint, instant now);
+    std::optional<failure> refuseBlocked(request_fingerprint, instant now);
     // The refusal of a request that may not be sent now: it is blocked, or suspected after one crash.
-    std::optional<failure> refuse(const send_question&, instant now);
+    std::optional<failure> refuse(const send_input&, instant now);
     // `isChosen`: whether this process may start isolated attempts of a request. Without it, every process may.
-    void setTrialChoice(std::function<bool(request_fingerprint)> isChosen) { m_isChosen = std::move(isChosen); }
+    void setIsolatedAttemptFilter(std::function<bool(request_fingerprint)> isChosen) { m_isChosen = std::move(isChosen); }
     // Called when something new becomes known about a request.
     void onChange(std::function<void(request_fingerprint)> action) { m_onChange = std::move(action); }
     // Called when the crash of a server's incarnation (given by its hashOf) first becomes known.
     void onServerCrashed(std::function<void(std::uint32_t server)> action) { m_onServerCrashed = std::move(action); }
     // The request is blocked, or suspected of a crash as it began.
-    bool isPutOff(request_fingerprint request, instant now) const { return barredFor(request, now) || isSuspected(request, now); }
+    bool isBlockedOrSuspected(request_fingerprint request, instant now) const { return blockedFor(request, now) || isSuspected(request, now); }
     // Set while the request is suspected only until updates that may clear it have arrived: until when.
-    std::optional<instant> undecidedUntil(request_fingerprint, instant now) const;
+    std::optional<instant> clearancePendingUntil(request_fingerprint, instant now) const;
     // Why a request may be sent although a server crashed as it began; empty if none did.
-    std::string_view whyLetThrough(request_fingerprint, instant now) const;
+    std::string_view clearanceReason(request_fingerprint, instant now) const;
     // A request begins at a server. If it is suspected, this process sends no copy of it until the attempt
     // ends. False if it is not suspected.
-    bool beginTrial(request_fingerprint, instant now);
+    bool beginIsolatedAttempt(request_fingerprint, instant now);
     // `isLost`: the server broke off the call, so it may have crashed.
-    void endTrial(request_fingerprint, bool isLost, instant now);
+    void endIsolatedAttempt(request_fingerprint, bool isLost, instant now);
     // The caller of a blocked request came again: the block lasts its full time from now.
-    void noteBarred(request_fingerprint, instant now);
+    void extendBlock(request_fingerprint, instant now);
 
     // At most `limit` of the requests whose records changed since they were last taken, those with the most crashes first.
-    aged_crashes takeNews(std::size_t limit, instant now);
-    bool hasNews() const { return !m_changed.empty(); }
+    aged_crash_records takeUpdates(std::size_t limit, instant now);
+    bool hasUpdates() const { return !m_changed.empty(); }
     // Records of the requests under which several servers crashed, for a peer that lacks some.
-    aged_crashes repeated(instant now) const;
+    aged_crash_records repeated(instant now) const;
     // What is known about one request; empty if nothing is. The crashes that it is cleared of are in a
     // separate record.
-    aged_crashes recordsOf(request_fingerprint, instant now) const;
+    aged_crash_records recordsOf(request_fingerprint, instant now) const;
     // Digest of what `repeated` returns, equal in processes that know the same. 0 if there are no such requests.
     std::uint32_t digest() const { return m_digest; }
     // Requests that are blocked now.
@@ -101,7 +101,7 @@
 
 private:
     struct entry {
-        std::set<seen_crash> crashes;
+        std::set<observed_crash> crashes;
         // Servers of these crashes that the request is cleared of: another server has run it to the end since.
         std::set<std::uint32_t> cleared;
         instant seenAt;
@@ -128,16 +128,16 @@
         instant crashedAt;
     };
 
-    static std::vector<seen_crash> unclearedCrashes(const entry&);
+    static std::vector<observed_crash> unclearedCrashes(const entry&);
     static weight weightOf(const entry&);
     static milliseconds retentionOf(const entry&);
     bool apply(const crash_record&, milliseconds age, instant now, bool own);
     // The crash of this server in `crashes`, or their end.
-    static std::set<seen_crash>::const_iterator findCrash(const entry&, std::uint32_t server);
+    static std::set<observed_crash>::const_iterator findCrash(const entry&, std::uint32_t server);
     // Clears the request of these crashes. True if it was not yet cleared of all of them.
-    static bool clear(entry&, const std::vector<seen_crash>&);
+    static bool clear(entry&, const std::vector<observed_crash>&);
     // Adds a crash. True if that changed the entry.
-    bool add(entry&, request_fingerprint, const seen_crash&, instant crashedAt);
+    bool add(entry&, request_fingerprint, const observed_crash&, instant crashedAt);
     // Calls the functions set by onServerCrashed and onChange.
     void notifyListeners(request_fingerprint, const std::vector<std::uint32_t>& newServers);
     void recordChange(request_fingerprint);
@@ -148,19 +148,19 @@
     void erase(request_fingerprint);
     void forgetSuspect(std::uint32_t server, request_fingerprint);
     std::vector<request_fingerprint> repeatedRequests() const;
-    void addRecords(aged_crashes&, request_fingerprint, instant now) const;
+    void addRecords(aged_crash_records&, request_fingerprint, instant now) const;
     // Another request explains the crash better: there is more evidence against it.
-    bool isExplainedByOther(const seen_crash&, request_fingerprint, const weight&) const;
+    bool isExplainedByOther(const observed_crash&, request_fingerprint, const weight&) const;
     // When the request is cleared of the crash because more servers crashed at the same moment without it
     // than with it, which points to another cause. Until then, updates may still arrive that it also ran
     // on those servers. Empty if that does not apply.
-    std::optional<instant> clearedAt(const seen_crash&, const entry&) const;
+    std::optional<instant> clearedAt(const observed_crash&, const entry&) const;
     // Assesses a request by the crashes in which it had just begun.
     assessment assess(request_fingerprint, instant now) const;
     // It had just begun as a server crashed, and nothing else explains that crash.
     bool isSuspected(request_fingerprint, instant now) const;
     // Another request explains all these crashes equally well.
-    bool hasEqualSuspect(const std::vector<seen_crash>&, request_fingerprint, const weight&) const;
+    bool hasEqualSuspect(const std::vector<observed_crash>&, request_fingerprint, const weight&) const;
 
     std::map<request_fingerprint, entry> m_requests;
     std::map<std::uint32_t, crashed_server> m_servers;
--- a/Source/policy/engine_intake.cpp
+++ b/Source/policy/engine_throttle.cpp
@@ -1,4 +1,4 @@
-#include "policy/engine_intake.h"
+#include "policy/engine_throttle.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void engine_intake::noteLimit(std::optional<double> perSecond, instant now)
+void engine_throttle::recordReportedLimit(std::optional<double> perSecond, instant now)
 {
     if (perSecond && !m_perSecond)
         m_tokens = token_bucket(0, now);
@@ -25,12 +25,12 @@
         m_refusedAt.clear();
 }
 
-void engine_intake::noteBackoff(milliseconds backoff, instant now)
+void engine_throttle::recordBackoff(milliseconds backoff, instant now)
 {
-    m_backoffUntil = std::max(m_backoffUntil, now + std::min(backoff, longestBackoff));
+    m_backoffUntil = std::max(m_backoffUntil, now + std::min(backoff, maxBackoff));
 }
 
-void engine_intake::forget()
+void engine_throttle::forget()
 {
     m_leaving = false;
     m_backoffUntil = {};
@@ -38,7 +38,7 @@
     m_refusedAt.clear();
 }
 
-result<void> engine_intake::enter(const std::string& entry, instant now)
+result<void> engine_throttle::enter(const std::string& entry, instant now)
 {
     if (m_leaving)
         return notRun(failure_reason::leaving, "the engine is leaving", leavingRetryAfter);
@@ -56,7 +56,7 @@
 
 // Entry VMs that retried at the same moment would be refused again, so each gets a delay that grows with
 // the number of refused VMs.
-milliseconds engine_intake::retryDelayFor(const std::string& entry, instant now)
+milliseconds engine_throttle::retryDelayFor(const std::string& entry, instant now)
 {
     std::erase_if(m_refusedAt, [now](const auto& refused) { return now - refused.second >= refusalLifetime; });
     m_refusedAt[entry] = now;
--- a/Source/policy/engine_intake.h
+++ b/Source/policy/engine_throttle.h
@@ -14,12 +14,12 @@
 
 // Enforces the limit, the backoff and the shutdown that an engine announces. Its agent is the only way to
 // the engine and counts the requests of all entry VMs.
-class engine_intake {
+class engine_throttle {
 public:
     // An answer of the engine named this limit in requests per second, or none.
-    void noteLimit(std::optional<double> perSecond, instant now);
+    void recordReportedLimit(std::optional<double> perSecond, instant now);
     // The engine refused a request and asked for none during this time. Doesn't shorten an earlier backoff.
-    void noteBackoff(milliseconds, instant now);
+    void recordBackoff(milliseconds, instant now);
     // The engine takes no new requests in this incarnation. True if that was not known.
     bool recordLeaving() { return !std::exchange(m_leaving, true); }
     // The engine was restarted: nothing that it announced applies any more.
@@ -29,7 +29,7 @@
 
 private:
     // Accepted requests per second. Requires that the engine has named a limit.
-    double rate() const { return std::max(*m_perSecond, leastPerSecond); }
+    double rate() const { return std::max(*m_perSecond, minPerSecond); }
     milliseconds retryDelayFor(const std::string& entry, instant now);
 
     std::optional<double> m_perSecond;
--- a/Source/policy/execution_guard.cpp
+++ b/Source/policy/execution_guard.cpp
@@ -44,7 +44,7 @@
     return answer;
 }
 
-bool execution_guard::takeHandover(const handover_answer& answer, instant now)
+bool execution_guard::acceptHandover(const handover_answer& answer, instant now)
 {
     m_ownership.notePeer(answer.sender, now);
     if (!answer.vouches)
@@ -54,7 +54,7 @@
     return true;
 }
 
-bool execution_guard::takeMemoryBack(const handover_answer& answer, instant now)
+bool execution_guard::restoreMemory(const handover_answer& answer, instant now)
 {
     m_ownership.notePeer(answer.sender, now);
     if (!answer.grantRevision)
@@ -73,10 +73,10 @@
     return id_deposit { m_ownership.standing(), m_idLife / grantLifetimeDivisor, m_ledger.liveIds(now) };
 }
 
-bool execution_guard::takeDeposit(const id_deposit& deposit, instant now)
+bool execution_guard::acceptDeposit(const id_deposit& deposit, instant now)
 {
     m_ownership.notePeer(deposit.owner, now);
-    if (!m_ownership.vouches(now) || !m_ownership.acceptGrant(deposit.owner.name, deposit.owner.revision, now + deposit.grantLife))
+    if (!m_ownership.vouches(now) || !m_ownership.acceptGrant(deposit.owner.name, deposit.owner.revision, now + deposit.grantLifetime))
         return false;
     m_ledger.inherit(deposit.ids, now);
     return true;
--- a/Source/policy/execution_guard.h
+++ b/Source/policy/execution_guard.h
@@ -22,7 +22,7 @@
 // The ids that a leaving agent hands to its standby.
 struct id_deposit {
     agent_standing owner;
-    milliseconds grantLife { 0 };
+    milliseconds grantLifetime { 0 };
     std::vector<std::uint64_t> ids;
 
     bool operator==(const id_deposit&) const = default;
@@ -39,15 +39,15 @@
 
     handover_answer answerHandover(const agent_standing& asker, bool takeBack, instant now);
     // Merges the answer of another agent. True if its ids were complete.
-    bool takeHandover(const handover_answer&, instant now);
+    bool acceptHandover(const handover_answer&, instant now);
     // Merges the answer of the standby that held this agent's ids. True if it ended a grant, so that this agent
     // has all its ids back.
-    bool takeMemoryBack(const handover_answer&, instant now);
+    bool restoreMemory(const handover_answer&, instant now);
 
     // Ends new runs on this agent and returns its ids for a standby. Empty if they may be incomplete.
     std::optional<id_deposit> handOff(instant now);
     // Accepts the ids of a leaving agent as its standby. False if this agent may not.
-    bool takeDeposit(const id_deposit&, instant now);
+    bool acceptDeposit(const id_deposit&, instant now);
 
     home_guard& ownership() { return m_ownership; }
     const home_guard& ownership() const { return m_ownership; }
--- a/Source/policy/grant_office.cpp
+++ b/Source/policy/limit_arbiter.cpp
@@ -1,4 +1,4 @@
-#include "policy/grant_office.h"
+#include "policy/limit_arbiter.h"
 
 #include <algorithm>
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void grant_office::noteFleet(std::size_t entries, instant now)
+void limit_arbiter::recordFleetSize(std::size_t entries, instant now)
 {
     m_entries = entries;
     if (entries < m_maxEntries && now - m_maxSeenAt < fleetMemory)
@@ -35,12 +35,12 @@
 }
 
 // In a partitioned fleet each part has an arbiter of its own, and their grants add up.
-double grant_office::visibleFraction() const
+double limit_arbiter::visibleFraction() const
 {
     return static_cast<double>(m_entries) / static_cast<double>(m_maxEntries);
 }
 
-milliseconds grant_office::askAgainDelay(instant now)
+milliseconds limit_arbiter::askAgainDelay(instant now)
 {
     std::size_t pairs = 0;
     for (auto& [server, entry] : m_buckets) {
@@ -52,16 +52,16 @@
     return std::clamp(delay, minAskAgainDelay, maxAskAgainDelay);
 }
 
-bool grant_office::moreUrgentDenied(const bucket& entry, int priority, instant now)
+bool limit_arbiter::moreUrgentDenied(const bucket& entry, int priority, instant now)
 {
     const auto end = entry.deniedAt.lower_bound(priority);
     return std::any_of(entry.deniedAt.begin(), end, [now](const auto& denial) { return now - denial.second < denialLifetime; });
 }
 
 // A bucket starts empty: the server may have had another arbiter a moment ago.
-grant_answer grant_office::answer(const std::string& requester, const grant_question& question, double perSecond, instant now)
+grant_answer limit_arbiter::answer(const std::string& requester, const grant_question& question, double perSecond, instant now)
 {
-    const double rate = std::max(safetyFactor * perSecond, leastPerSecond) * visibleFraction();
+    const double rate = std::max(safetyFactor * perSecond, minPerSecond) * visibleFraction();
     auto& entry = m_buckets.try_emplace(question.server, bucket { token_bucket(0, now), {}, {} }).first->second;
     entry.tokens.fill(rate, std::max(minBurst, rate * burstSeconds), now);
     entry.requesters[requester] = now;
--- a/Source/policy/grant_office.h
+++ b/Source/policy/limit_arbiter.h
@@ -6,10 +6,10 @@
 
 namespace rampgap {
 
-class grant_office {
+class limit_arbiter {
 public:
     // `entries`: the number of entry VMs that this one knows, itself included.
-    void noteFleet(std::size_t entries, instant now);
+    void recordFleetSize(std::size_t entries, instant now);
     // Answers a question for grants. `perSecond`: the limit that the server named.
     grant_answer answer(const std::string& requester, const grant_question&, double perSecond, instant now);
 
--- a/Source/policy/permit_office.cpp
+++ b/Source/policy/permit_issuer.cpp
@@ -1,4 +1,4 @@
-#include "policy/permit_office.h"
+#include "policy/permit_issuer.h"
 
 #include <charconv>
 
@@ -15,19 +15,19 @@
 
 } // namespace
 
-permit_office::permit_office(std::uint64_t incarnation, instant startedAt)
+permit_issuer::permit_issuer(std::uint64_t incarnation, instant startedAt)
     : m_incarnation(incarnation)
     , m_startedAt(startedAt)
 {
 }
 
-std::string permit_office::issue(instant now) const
+std::string permit_issuer::issue(instant now) const
 {
     const auto age = std::chrono::duration_cast<milliseconds>(now - m_startedAt);
     return std::to_string(m_incarnation) + "." + std::to_string(age.count());
 }
 
-result<void> permit_office::check(std::string_view permit, instant now) const
+result<void> permit_issuer::check(std::string_view permit, instant now) const
 {
     std::uint64_t incarnation = 0;
     const char* const end = permit.data() + permit.size();
@@ -42,7 +42,7 @@
     if (incarnation != m_incarnation)
         return notRun(failure_reason::not_ready, "the permit is of an earlier start of this agent", retryAtOnce);
     const auto age = std::chrono::duration_cast<milliseconds>(now - m_startedAt) - milliseconds(issued);
-    if (age < milliseconds(0) || age > permitLife)
+    if (age < milliseconds(0) || age > permitLifetime)
         return stale("the permit is too old");
     return boost::outcome_v2::success();
 }
--- a/Source/policy/permit_office.h
+++ b/Source/policy/permit_issuer.h
@@ -9,14 +9,14 @@
 namespace rampgap {
 
 // How long a permit is valid, by the issuing agent's clock.
-inline constexpr milliseconds permitLife { 4'000 };
+inline constexpr milliseconds permitLifetime { 4'000 };
 // An entry VM asks for a new permit when its current one is older than this.
-inline constexpr milliseconds permitRenewal { 1'500 };
+inline constexpr milliseconds permitRenewalAge { 1'500 };
 
 // Issues and checks permits of one agent incarnation.
-class permit_office {
+class permit_issuer {
 public:
-    permit_office(std::uint64_t incarnation, instant startedAt);
+    permit_issuer(std::uint64_t incarnation, instant startedAt);
 
     std::string issue(instant now) const;
     // Fails with `stale_permit` once the permit has expired, with `not_ready` if it is of an earlier incarnation.
--- a/Source/policy/retry_budget.cpp
+++ b/Source/policy/retry_budget.cpp
@@ -19,7 +19,7 @@
 {
 }
 
-void retry_budget::noteRequest()
+void retry_budget::recordRequest()
 {
     m_tokens = std::min(maxTokens, m_tokens + m_tokensPerRequest);
 }
--- a/Source/policy/retry_budget.h
+++ b/Source/policy/retry_budget.h
@@ -8,7 +8,7 @@
 public:
     explicit retry_budget(int percent);
 
-    void noteRequest();
+    void recordRequest();
     // Consumes a token; false if there is none.
     bool tryConsume();
     double tokens() const { return m_tokens; }
--- a/Source/policy/retry_policy.cpp
+++ b/Source/policy/retry_policy.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    bool isSafe(const retry_question& input)
+    bool isSafe(const retry_input& input)
     {
         if (input.answerStarted)
             return false;
@@ -32,11 +32,11 @@
 
 } // namespace
 
-bool mayRetry(const retry_question& input, retry_budget& budget)
+bool mayRetry(const retry_input& input, retry_budget& budget)
 {
     if (!isSafe(input) || isFinal(input.last.reason))
         return false;
-    if (!input.otherBackendLeft || input.attemptsMade >= maxTries || input.now >= input.deadline)
+    if (!input.otherBackendLeft || input.attemptsMade >= maxRequestAttempts || input.now >= input.deadline)
         return false;
     return budget.tryConsume();
 }
--- a/Source/policy/retry_policy.h
+++ b/Source/policy/retry_policy.h
@@ -7,7 +7,7 @@
 namespace rampgap {
 
 // Input of the decision.
-struct retry_question {
+struct retry_input {
     failure last;
     bool repeatable = true;
     bool answerStarted = false;
@@ -17,9 +17,9 @@
     instant now;
 };
 
-inline constexpr int maxTries = 3;
+inline constexpr int maxRequestAttempts = 3;
 
 // True if a retry is safe, useful and within the budget; it then consumes a token of the budget.
-bool mayRetry(const retry_question&, retry_budget&);
+bool mayRetry(const retry_input&, retry_budget&);
 
 } // namespace rampgap
--- a/Source/policy/server_backoffs.cpp
+++ b/Source/policy/server_backoffs.cpp
@@ -11,15 +11,15 @@
 
 } // namespace
 
-void server_backoffs::noteAsked(server_hash server, milliseconds requested, instant now)
+void server_backoffs::recordBackoff(server_hash server, milliseconds requested, instant now)
 {
     auto& entry = m_backoffs[server];
-    entry.until = std::max(entry.until, now + std::min(requested, longestBackoff));
+    entry.until = std::max(entry.until, now + std::min(requested, maxBackoff));
     entry.firstSentAt.reset();
 }
 
 // An answer to a request from before the backoff does not end it.
-void server_backoffs::noteAnswered(server_hash server, instant now)
+void server_backoffs::recordAnswered(server_hash server, instant now)
 {
     const auto entry = m_backoffs.find(server);
     if (entry != m_backoffs.end() && now >= entry->second.until)
--- a/Source/policy/server_backoffs.h
+++ b/Source/policy/server_backoffs.h
@@ -6,16 +6,16 @@
 namespace rampgap {
 
 // Upper bound of a backoff, whatever the server asks for.
-inline constexpr milliseconds longestBackoff = std::chrono::hours(24);
+inline constexpr milliseconds maxBackoff = std::chrono::hours(24);
 
 // While a server's backoff lasts, this process sends it nothing. After that it sends one request first,
 // and others once that is answered without asking for another backoff.
 class server_backoffs {
 public:
     // The server asked to back off for this time from now on. Doesn't shorten an earlier backoff.
-    void noteAsked(server_hash, milliseconds backoff, instant now);
+    void recordBackoff(server_hash, milliseconds backoff, instant now);
     // The server answered without asking to back off.
-    void noteAnswered(server_hash, instant now);
+    void recordAnswered(server_hash, instant now);
     // The server was restarted: what it asked for does not apply any more.
     void forget(server_hash server) { m_backoffs.erase(server); }
     // A request is sent to the server now.
--- a/Source/policy/server_limits.cpp
+++ b/Source/policy/server_limits.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-void server_limits::noteAnswer(server_hash server, std::optional<double> perSecond, instant now)
+void server_limits::recordAnswer(server_hash server, std::optional<double> perSecond, instant now)
 {
     // The usual case: the server has never reported a limit.
     if (!perSecond && !m_reports.contains(server))
@@ -38,19 +38,19 @@
     store(server, { perSecond, now }, now);
 }
 
-void server_limits::mergeReport(server_hash server, limit_word report, instant now)
+void server_limits::mergeReport(server_hash server, reported_limit report, instant now)
 {
     const auto entry = m_reports.find(server);
-    if (entry != m_reports.end() && report.saidAt <= entry->second.report.saidAt)
+    if (entry != m_reports.end() && report.reportedAt <= entry->second.report.reportedAt)
         return;
     const auto forgotten = m_forgottenAt.find(server);
-    if (forgotten != m_forgottenAt.end() && report.saidAt <= forgotten->second)
+    if (forgotten != m_forgottenAt.end() && report.reportedAt <= forgotten->second)
         return;
-    if (now - report.saidAt < reportLifetime)
+    if (now - report.reportedAt < reportLifetime)
         store(server, report, now);
 }
 
-void server_limits::store(server_hash server, const limit_word& report, instant now)
+void server_limits::store(server_hash server, const reported_limit& report, instant now)
 {
     const auto entry = m_reports.find(server);
     const bool isChange = entry == m_reports.end() ? report.perSecond.has_value() : differs(entry->second.report.perSecond, report.perSecond);
@@ -69,10 +69,10 @@
     m_forgottenAt[server] = now;
 }
 
-std::optional<limit_word> server_limits::reportOf(server_hash server, instant now) const
+std::optional<reported_limit> server_limits::reportOf(server_hash server, instant now) const
 {
     const auto entry = m_reports.find(server);
-    if (entry == m_reports.end() || now - entry->second.report.saidAt >= reportLifetime)
+    if (entry == m_reports.end() || now - entry->second.report.reportedAt >= reportLifetime)
         return std::nullopt;
     return entry->second.report;
 }
@@ -83,9 +83,9 @@
     return report ? report->perSecond : std::nullopt;
 }
 
-limit_words server_limits::recentChanges(instant now) const
+reported_limits server_limits::recentChanges(instant now) const
 {
-    limit_words found;
+    reported_limits found;
     for (const auto& [server, entry] : m_reports) {
         if (entry.changedAt && now - *entry.changedAt < changeGossipTime)
             found.emplace_back(server, entry.report);
@@ -93,9 +93,9 @@
     return found;
 }
 
-limit_words server_limits::currentLimits(std::size_t count, instant now) const
+reported_limits server_limits::currentLimits(std::size_t count, instant now) const
 {
-    limit_words found;
+    reported_limits found;
     for (const auto& [server, entry] : m_reports) {
         if (found.size() < count && limitOf(server, now))
             found.emplace_back(server, entry.report);
@@ -105,7 +105,7 @@
 
 void server_limits::expire(instant now)
 {
-    std::erase_if(m_reports, [now](const auto& entry) { return now - entry.second.report.saidAt >= reportLifetime; });
+    std::erase_if(m_reports, [now](const auto& entry) { return now - entry.second.report.reportedAt >= reportLifetime; });
     std::erase_if(m_forgottenAt, [now](const auto& entry) { return now - entry.second >= reportLifetime; });
     std::erase_if(m_accounts, [this](const auto& entry) { return !m_reports.contains(entry.first); });
 }
@@ -154,15 +154,15 @@
     return std::exchange(m_questions, {});
 }
 
-void server_limits::noteGranted(const grant_answer& answer, instant now)
+void server_limits::recordGranted(const grant_answer& answer, instant now)
 {
     auto& account = m_accounts[answer.server];
     account.askedAt.reset();
     account.askAgainAt = now + answer.askAgain;
-    account.grants.insert(account.grants.end(), static_cast<std::size_t>(std::clamp(answer.granted, 0, maxWanted)), now + grantLife);
+    account.grants.insert(account.grants.end(), static_cast<std::size_t>(std::clamp(answer.granted, 0, maxWanted)), now + grantLifetime);
 }
 
-void server_limits::noteUnserved(int priority, instant now)
+void server_limits::recordUnserved(int priority, instant now)
 {
     m_unservedAt[priority] = now;
 }
@@ -181,7 +181,7 @@
     const auto account = m_accounts.find(server);
     if (account == m_accounts.end())
         return false;
-    const instant latestExpiry = moreUrgentUnserved(priority, now) ? now + grantLife / 2 : instant::max();
+    const instant latestExpiry = moreUrgentUnserved(priority, now) ? now + grantLifetime / 2 : instant::max();
     return std::any_of(account->second.grants.begin(), account->second.grants.end(), [now, latestExpiry](instant expiry) { return expiry > now && expiry <= latestExpiry; });
 }
 
--- a/Source/policy/server_limits.h
+++ b/Source/policy/server_limits.h
@@ -19,15 +19,15 @@
 using server_hash = std::uint32_t;
 
 // The limit that a server reported last.
-struct limit_word {
+struct reported_limit {
     // Requests per second from all entry VMs together; empty: the server has no limit any more.
     std::optional<double> perSecond;
-    instant saidAt;
+    instant reportedAt;
 
-    bool operator==(const limit_word&) const = default;
+    bool operator==(const reported_limit&) const = default;
 };
 
-using limit_words = std::vector<std::pair<server_hash, limit_word>>;
+using reported_limits = std::vector<std::pair<server_hash, reported_limit>>;
 
 // Asks the arbiter of a server's limit for grants.
 struct grant_question {
@@ -41,7 +41,7 @@
 
 struct grant_answer {
     server_hash server = 0;
-    // Requests that may be sent within `grantLife`.
+    // Requests that may be sent within `grantLifetime`.
     int granted = 0;
     // Time after which to ask again; a question before that gets no grants.
     milliseconds askAgain { 0 };
@@ -50,44 +50,44 @@
 };
 
 // A lower limit is raised to this one: only further requests can show that the limit has ended.
-inline constexpr double leastPerSecond = 0.1;
+inline constexpr double minPerSecond = 0.1;
 // A grant expires after this time, so that no process keeps grants that it has no requests for.
-inline constexpr milliseconds grantLife { 1'000 };
+inline constexpr milliseconds grantLifetime { 1'000 };
 
 // A process sends a request to a server with a limit only if it has a grant for it. All grants come from
 // one entry VM, the server's arbiter, so that together they stay within the limit.
 class server_limits {
 public:
     // An answer of the server reported this limit, or none.
-    void noteAnswer(server_hash, std::optional<double> perSecond, instant now);
+    void recordAnswer(server_hash, std::optional<double> perSecond, instant now);
     // Merges a report from a peer. Ignored if a newer one is known.
-    void mergeReport(server_hash, limit_word, instant now);
+    void mergeReport(server_hash, reported_limit, instant now);
     // The server was restarted: what it reported before does not apply any more.
     void forget(server_hash, instant now);
     // Requests per second; empty if the server has no limit, as far as is known.
     std::optional<double> limitOf(server_hash, instant now) const;
     // The server's latest report; empty if there is none or it is too old.
-    std::optional<limit_word> reportOf(server_hash, instant now) const;
+    std::optional<reported_limit> reportOf(server_hash, instant now) const;
     // True if a report of any server is stored.
     bool any() const { return !m_reports.empty(); }
     // Reports that changed a short time ago, for the peers.
-    limit_words recentChanges(instant now) const;
+    reported_limits recentChanges(instant now) const;
     // At most `count` of the limits that apply now, for a process that has just started.
-    limit_words currentLimits(std::size_t count, instant now) const;
+    reported_limits currentLimits(std::size_t count, instant now) const;
 
     // A request of this priority is to be sent to one of these servers of a service: asks for grants for
     // servers with a limit for which there are none.
     void requestGrants(const std::string& service, const std::vector<server_hash>&, int priority, instant now);
     // A request was sent to no server since there was no grant for one.
-    void noteUnserved(int priority, instant now);
+    void recordUnserved(int priority, instant now);
     bool maySend(server_hash, int priority, instant now) const;
     // Uses up a grant if the server has a limit.
     void useGrant(server_hash, instant now);
     // True while the answer to a question for grants is expected.
     bool awaitsAnswer(server_hash, instant now) const;
-    void noteGranted(const grant_answer&, instant now);
+    void recordGranted(const grant_answer&, instant now);
     // Called when there are questions to be sent.
-    void onQuestions(std::function<void()> action) { m_onQuestions = std::move(action); }
+    void onGrantQuestions(std::function<void()> action) { m_onQuestions = std::move(action); }
     std::vector<grant_question> takeQuestions();
 
 private:
@@ -99,7 +99,7 @@
         instant askAgainAt {};
     };
 
-    void store(server_hash, const limit_word&, instant now);
+    void store(server_hash, const reported_limit&, instant now);
     // Counts a request. The number of requests for the service in the last second, this one included.
     int countRequest(const std::string& service, instant now);
     void askForGrants(server_hash, int wanted, int priority, instant now);
@@ -107,7 +107,7 @@
     bool moreUrgentUnserved(int priority, instant now) const;
 
     struct stored_report {
-        limit_word report;
+        reported_limit report;
         // When the reported limit last changed; empty: never.
         std::optional<instant> changedAt;
     };
--- a/Source/policy/shared_retry_budget.cpp
+++ b/Source/policy/shared_retry_budget.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-void shared_retry_budget::setSharers(std::size_t count)
+void shared_retry_budget::setSharingProcesses(std::size_t count)
 {
     m_sharers = std::max<std::size_t>(1, count);
 }
@@ -23,7 +23,7 @@
         usage.retries.pop_front();
 }
 
-void shared_retry_budget::noteRequest(const std::string& service, instant now)
+void shared_retry_budget::recordRequest(const std::string& service, instant now)
 {
     auto& usage = m_services[service];
     expire(usage, now);
--- a/Source/policy/shared_retry_budget.h
+++ b/Source/policy/shared_retry_budget.h
@@ -31,8 +31,8 @@
     shared_retry_budget(retry_bounds, instant startedAt);
 
     // Number of entry VMs that may share the allowance now.
-    void setSharers(std::size_t count);
-    void noteRequest(const std::string& service, instant now);
+    void setSharingProcesses(std::size_t count);
+    void recordRequest(const std::string& service, instant now);
     // True if the budget allows a retry now.
     bool allowsRetry(const std::string& service, instant now);
     // Uses one retry of the budget; false if the budget is used up.
--- a/Source/policy/silence_limit.cpp
+++ b/Source/policy/silence_limit.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-std::optional<milliseconds> firstEventLimit(const first_event_question& input)
+std::optional<milliseconds> firstEventLimit(const first_event_input& input)
 {
-    if (input.busyPart > maxBusyFraction)
+    if (input.busyFraction > maxBusyFraction)
         return std::nullopt;
     const milliseconds latestOnTime = input.latencyTarget - input.waited - input.typicalDelay;
     if (latestOnTime >= input.typicalDelay)
--- a/Source/policy/silence_limit.h
+++ b/Source/policy/silence_limit.h
@@ -7,7 +7,7 @@
 
 namespace rampgap {
 
-struct first_event_question {
+struct first_event_input {
     // Typical time from sending to the first event, as recently observed: mean and two deviations.
     milliseconds typicalDelay { 0 };
     milliseconds latencyTarget { 0 };
@@ -15,9 +15,9 @@
     milliseconds patience { 0 };
     milliseconds waited { 0 };
     // Fraction of the service's request slots that are in use.
-    double busyPart = 0;
+    double busyFraction = 0;
 
-    bool operator==(const first_event_question&) const = default;
+    bool operator==(const first_event_input&) const = default;
 };
 
 // The silence after which an attempt is given up for a second one; empty if it is to go on.
@@ -29,6 +29,6 @@
 // delay is observed in full: where all engines become slow, the typical delay grows with it, and no more
 // attempts are given up. Empty while most slots are in use, since a late first event has then waited for a slot
 // and a second attempt would wait again, and if the second attempt could not reach the caller in time.
-std::optional<milliseconds> firstEventLimit(const first_event_question&);
+std::optional<milliseconds> firstEventLimit(const first_event_input&);
 
 } // namespace rampgap
--- a/Source/wire/crash_codec.cpp
+++ b/Source/wire/crash_codec.cpp
@@ -2,7 +2,7 @@
 
 namespace rampgap {
 
-void addCrashes(crash_messages& messages, const aged_crashes& all)
+void addCrashes(crash_messages& messages, const aged_crash_records& all)
 {
     for (const auto& [record, age] : all) {
         auto* added = messages.Add();
--- a/Source/wire/crash_codec.h
+++ b/Source/wire/crash_codec.h
@@ -8,7 +8,7 @@
 
 using crash_messages = google::protobuf::RepeatedPtrField<wire::crash_record>;
 
-void addCrashes(crash_messages&, const aged_crashes&);
+void addCrashes(crash_messages&, const aged_crash_records&);
 // True if any was news to the history.
 bool mergeCrashes(const crash_messages&, crash_history&, instant now);
 
--- a/Tests/platform/admission-share/test.cpp
+++ b/Tests/platform/admission-share/test.cpp
@@ -16,7 +16,7 @@
 
 TEST_CASE("a full group is shared equally, and each entry VM may use its part of the free slots as well")
 {
-    admission_share_question question { 600, 510, 0, 40, settled };
+    admission_share_input question { 600, 510, 0, 40, settled };
     CHECK(admissionShare(question) == 13);
     question.load = 110;
     question.own = 20;
@@ -31,7 +31,7 @@
 {
     CHECK(rc::check([] {
         const auto entries = *rc::gen::inRange<std::size_t>(1, 100);
-        admission_share_question question;
+        admission_share_input question;
         question.capacity = *rc::gen::inRange(0, 20'000);
         question.entries = entries;
         question.openFor = settled;
--- a/Tests/platform/admission-wait/test.cpp
+++ b/Tests/platform/admission-wait/test.cpp
@@ -17,9 +17,9 @@
 constexpr int timely = 2;
 constexpr int late = 3;
 
-admission_wait_question firstCaller()
+admission_wait_input firstCaller()
 {
-    admission_wait_question question;
+    admission_wait_input question;
     question.latencyTarget = milliseconds(500);
     question.firstEvent = milliseconds(200);
     question.timeLeft = milliseconds(8'000);
@@ -179,11 +179,11 @@
 TEST_CASE("the stages of a wait depend on whether the request can still be on time")
 {
     auto question = firstCaller();
-    CHECK((planAdmission(question) == std::vector<admission_stage> { { timelyUrgency, milliseconds(300) }, { lateUrgency, milliseconds(1'500) } }));
+    CHECK((planAdmission(question) == std::vector<admission_stage> { { timelyPriority, milliseconds(300) }, { latePriority, milliseconds(1'500) } }));
     question.firstTime = false;
-    CHECK((planAdmission(question) == std::vector<admission_stage> { { lastChanceUrgency, milliseconds(1'800) } }));
-    question.placesFree = true;
-    CHECK((planAdmission(question) == std::vector<admission_stage> { { timelyUrgency, milliseconds(8'000) } }));
+    CHECK((planAdmission(question) == std::vector<admission_stage> { { lastChancePriority, milliseconds(1'800) } }));
+    question.slotsFree = true;
+    CHECK((planAdmission(question) == std::vector<admission_stage> { { timelyPriority, milliseconds(8'000) } }));
     question.begun = true;
-    CHECK((planAdmission(question) == std::vector<admission_stage> { { begunUrgency, milliseconds(300) } }));
+    CHECK((planAdmission(question) == std::vector<admission_stage> { { resumedStreamPriority, milliseconds(300) } }));
 }
--- a/Tests/platform/crash-gossip/test.cpp
+++ b/Tests/platform/crash-gossip/test.cpp
@@ -25,7 +25,7 @@
 
     gateway::peer_datagram makeDatagram() const override;
     void send(const std::string& host, const gateway::peer_datagram&) override;
-    bool bars() const { return history.barredFor(guilty, boot_clock::now()).has_value(); }
+    bool bars() const { return history.blockedFor(guilty, boot_clock::now()).has_value(); }
 
     network& wires;
     std::string host;
@@ -96,7 +96,7 @@
 void crashTwice(node& where)
 {
     for (const std::uint32_t server : { 10U, 11U })
-        where.history.noteCrash(guilty, server, 0, boot_clock::now());
+        where.history.recordCrash(guilty, server, 0, boot_clock::now());
     where.gossip.tell();
 }
 
@@ -145,6 +145,6 @@
     REQUIRE(first.history.digest() == second.history.digest());
     const auto before = first.makeDatagram();
     CHECK(before.crashes().empty());
-    CHECK_FALSE(first.history.hasNews());
-    CHECK_FALSE(second.history.hasNews());
+    CHECK_FALSE(first.history.hasUpdates());
+    CHECK_FALSE(second.history.hasUpdates());
 }
--- a/Tests/platform/crash-history/test.cpp
+++ b/Tests/platform/crash-history/test.cpp
@@ -21,7 +21,7 @@
 
 bool isBlocked(const crash_history& history, request_fingerprint which, instant now = zero)
 {
-    return history.barredFor(which, now).has_value();
+    return history.blockedFor(which, now).has_value();
 }
 
 } // namespace
@@ -33,9 +33,9 @@
     const auto cause = request(1);
     for (const std::uint32_t server : { 10U, 11U }) {
         CHECK_FALSE(isBlocked(history, cause));
-        history.noteCrash(cause, server, 0, zero);
+        history.recordCrash(cause, server, 0, zero);
         for (std::uint64_t neighbour = 0; neighbour < 11; ++neighbour)
-            history.noteCrash(request(100 * server + neighbour), server, neighbour % 3 == 0 ? 0 : manyEvents, zero);
+            history.recordCrash(request(100 * server + neighbour), server, neighbour % 3 == 0 ? 0 : manyEvents, zero);
     }
     CHECK(isBlocked(history, cause));
     CHECK(history.blocked(zero) == std::vector<request_fingerprint> { cause });
@@ -47,12 +47,12 @@
     const auto cause = request(1);
     const auto neighbour = request(2);
     for (const std::uint32_t server : { 10U, 11U }) {
-        history.noteCrash(cause, server, 0, zero);
-        history.noteCrash(neighbour, server, 0, zero);
+        history.recordCrash(cause, server, 0, zero);
+        history.recordCrash(neighbour, server, 0, zero);
     }
     CHECK_FALSE(isBlocked(history, cause));
     CHECK_FALSE(isBlocked(history, neighbour));
-    history.noteCrash(cause, 12, 0, zero);
+    history.recordCrash(cause, 12, 0, zero);
     CHECK(isBlocked(history, cause));
     CHECK_FALSE(isBlocked(history, neighbour));
 }
@@ -61,8 +61,8 @@
 {
     crash_history history;
     for (const std::uint32_t server : { 10U, 11U }) {
-        history.noteCrash(request(1), server, 0, zero);
-        history.noteCrash(request(2), server, manyEvents, zero);
+        history.recordCrash(request(1), server, 0, zero);
+        history.recordCrash(request(2), server, manyEvents, zero);
     }
     CHECK(isBlocked(history, request(1)));
     CHECK_FALSE(isBlocked(history, request(2)));
@@ -72,28 +72,28 @@
 {
     crash_history history;
     for (const std::uint32_t server : { 10U, 11U })
-        history.noteCrash(request(1), server, manyEvents, zero);
+        history.recordCrash(request(1), server, manyEvents, zero);
     CHECK_FALSE(isBlocked(history, request(1)));
-    history.noteCrash(request(1), 12, manyEvents, zero);
+    history.recordCrash(request(1), 12, manyEvents, zero);
     CHECK(isBlocked(history, request(1)));
 }
 
 TEST_CASE("a request that a server has run to its end is cleared of the crashes before")
 {
     crash_history history;
-    history.noteCrash(request(1), 10, 0, zero);
-    history.noteServed(request(1), zero);
+    history.recordCrash(request(1), 10, 0, zero);
+    history.recordServed(request(1), zero);
     for (const std::uint32_t server : { 11U, 12U })
-        history.noteCrash(request(1), server, 0, zero);
+        history.recordCrash(request(1), server, 0, zero);
     CHECK_FALSE(isBlocked(history, request(1)));
     // Nor does it explain the crashes under another request.
     for (const std::uint32_t server : { 11U, 12U })
-        history.noteCrash(request(2), server, 0, zero);
+        history.recordCrash(request(2), server, 0, zero);
     CHECK(isBlocked(history, request(2)));
     // Served again, the request is cleared of these crashes as well.
-    history.noteServed(request(1), zero);
+    history.recordServed(request(1), zero);
     for (const std::uint32_t server : { 13U, 14U })
-        history.noteCrash(request(1), server, 0, zero);
+        history.recordCrash(request(1), server, 0, zero);
     CHECK_FALSE(isBlocked(history, request(1)));
 }
 
@@ -101,12 +101,12 @@
 {
     // If one answer cleared a request for good, it would go on to crash each server of the new version.
     crash_history history;
-    history.noteCrash(request(1), 10, 0, zero);
-    history.noteServed(request(1), zero);
+    history.recordCrash(request(1), 10, 0, zero);
+    history.recordServed(request(1), zero);
     std::uint32_t server = 11;
     for (; !isBlocked(history, request(1)); ++server) {
         REQUIRE(server < 14);
-        history.noteCrash(request(1), server, 0, zero);
+        history.recordCrash(request(1), server, 0, zero);
     }
     CHECK(server == 14);
     // A peer that merges the records comes to the same result.
@@ -121,7 +121,7 @@
 {
     crash_history history;
     for (std::uint64_t number = 0; number < 500; ++number)
-        history.noteCrash(request(number), static_cast<std::uint32_t>(number / 12), number % 3, zero);
+        history.recordCrash(request(number), static_cast<std::uint32_t>(number / 12), number % 3, zero);
     CHECK(history.blocked(zero).empty());
 }
 
@@ -129,15 +129,15 @@
 {
     crash_history history;
     for (const std::uint32_t server : { 10U, 11U })
-        history.noteCrash(request(1), server, 0, zero);
+        history.recordCrash(request(1), server, 0, zero);
     instant now = zero;
     for (int i = 0; i < 10; ++i) {
         now += std::chrono::minutes(9);
         history.expire(now);
         REQUIRE(isBlocked(history, request(1), now));
-        history.noteBarred(request(1), now);
+        history.extendBlock(request(1), now);
     }
-    CHECK(history.barredFor(request(1), now) == std::chrono::minutes(10));
+    CHECK(history.blockedFor(request(1), now) == std::chrono::minutes(10));
     now += std::chrono::minutes(10);
     CHECK_FALSE(isBlocked(history, request(1), now));
     history.expire(now);
@@ -189,11 +189,11 @@
                 waiting.push_back(next++);
             // Each crash is that of another incarnation.
             const std::uint32_t crashed = 1'000 * crashes + static_cast<std::uint32_t>(random() % ranks);
-            history.noteCrash(cause, crashed, 0, zero);
+            history.recordCrash(cause, crashed, 0, zero);
             std::vector<std::uint64_t> lost;
             for (const auto number : waiting) {
                 if (random() % ranks == 0) {
-                    history.noteCrash(request(number), crashed, random() % 4, zero);
+                    history.recordCrash(request(number), crashed, random() % 4, zero);
                     lost.push_back(number);
                 }
             }
@@ -210,7 +210,7 @@
 {
     crash_history history;
     for (const std::uint32_t server : { 1U, 2U })
-        history.noteCrash(request(1), server, 0, zero);
+        history.recordCrash(request(1), server, 0, zero);
     for (std::uint64_t number = 100; number < 10'100; ++number)
         history.merge({ request(number), { { static_cast<std::uint32_t>(number), true } }, false }, milliseconds(0), zero);
     CHECK(history.size() <= 2'048);
--- a/Tests/platform/crash-news/test.cpp
+++ b/Tests/platform/crash-news/test.cpp
@@ -33,10 +33,10 @@
         now += step;
         std::vector<std::pair<std::size_t, gateway::peer_datagram>> underWay;
         for (std::size_t from = 0; from < histories.size(); ++from) {
-            if (!histories[from].hasNews())
+            if (!histories[from].hasUpdates())
                 continue;
             gateway::peer_datagram datagram;
-            addCrashes(*datagram.mutable_crashes(), histories[from].takeNews(recordsPerDatagram, now));
+            addCrashes(*datagram.mutable_crashes(), histories[from].takeUpdates(recordsPerDatagram, now));
             for (std::size_t i = 0; i < fanout; ++i) {
                 sentBytes[from] += datagram.ByteSizeLong();
                 largest = std::max(largest, datagram.ByteSizeLong());
@@ -51,12 +51,12 @@
 
     bool quiet() const
     {
-        return std::none_of(histories.begin(), histories.end(), [](const crash_history& each) { return each.hasNews(); });
+        return std::none_of(histories.begin(), histories.end(), [](const crash_history& each) { return each.hasUpdates(); });
     }
 
     std::size_t barring(request_fingerprint request) const
     {
-        return static_cast<std::size_t>(std::count_if(histories.begin(), histories.end(), [&](const crash_history& each) { return each.barredFor(request, now).has_value(); }));
+        return static_cast<std::size_t>(std::count_if(histories.begin(), histories.end(), [&](const crash_history& each) { return each.blockedFor(request, now).has_value(); }));
     }
 
     std::vector<crash_history> histories;
@@ -75,8 +75,8 @@
     for (std::uint32_t crash = 0; crash < 2; ++crash) {
         // The crashes are seen by different VMs, each with some of the neighbours.
         for (std::uint64_t neighbour = 0; neighbour < 16; ++neighbour)
-            all.histories[all.random() % entries].noteCrash({ 100 * (crash + 1) + neighbour }, crash, neighbour % 4, all.now);
-        all.histories[all.random() % entries].noteCrash(guilty, crash, 0, all.now);
+            all.histories[all.random() % entries].recordCrash({ 100 * (crash + 1) + neighbour }, crash, neighbour % 4, all.now);
+        all.histories[all.random() % entries].recordCrash(guilty, crash, 0, all.now);
         for (int i = 0; i < 10; ++i)
             all.pass();
     }
@@ -91,13 +91,13 @@
     crash_history knows;
     crash_history missed;
     for (const std::uint32_t server : { 1U, 2U })
-        knows.noteCrash({ 1 }, server, 0, instant {});
+        knows.recordCrash({ 1 }, server, 0, instant {});
     REQUIRE(knows.digest() != missed.digest());
     gateway::peer_datagram datagram;
     addCrashes(*datagram.mutable_crashes(), knows.repeated(instant {} + milliseconds(5'000)));
     mergeCrashes(datagram.crashes(), missed, instant {} + milliseconds(900'000));
     CHECK(knows.digest() == missed.digest());
-    CHECK(missed.barredFor({ 1 }, instant {} + milliseconds(900'000)) == milliseconds(595'000));
+    CHECK(missed.blockedFor({ 1 }, instant {} + milliseconds(900'000)) == milliseconds(595'000));
 }
 
 TEST_CASE("a zone of 330 servers that crash together overloads nobody, and the news end")
@@ -106,7 +106,7 @@
     constexpr double linkBytesPerSecond = 1'000'000;
     fleet all(60);
     for (std::uint64_t number = 0; number < 5'000; ++number)
-        all.histories[all.random() % 60].noteCrash({ number + 10 }, static_cast<std::uint32_t>(number / 15), number % 4, all.now);
+        all.histories[all.random() % 60].recordCrash({ number + 10 }, static_cast<std::uint32_t>(number / 15), number % 4, all.now);
     int steps = 0;
     while (!all.quiet() && steps < 2'000) {
         all.pass();
--- a/Tests/platform/dying-server/test.cpp
+++ b/Tests/platform/dying-server/test.cpp
@@ -23,12 +23,12 @@
 // How long the processor was away between two steps of a process that ends.
 constexpr milliseconds betweenItsEnds { 20 };
 constexpr milliseconds longest { 2'000 };
-const server_life life { "i-1", 1'000 };
+const server_incarnation life { "i-1", 1'000 };
 
 struct findings : crash_listener {
-    void onServerCrashed(const server_life&, const std::string&, const std::string&, std::size_t calls) override { crashedCalls = calls; }
-    void onCallCrashed(const server_life&, const lost_call&) override { }
-    void onLookUnanswered(const server_life&, const std::string&, const std::string& reason) override { unanswered.push_back(reason); }
+    void onServerCrashed(const server_incarnation&, const std::string&, const std::string&, std::size_t calls) override { crashedCalls = calls; }
+    void onCallCrashed(const server_incarnation&, const lost_call&) override { }
+    void onLookUnanswered(const server_incarnation&, const std::string&, const std::string& reason) override { unanswered.push_back(reason); }
 
     std::optional<std::size_t> crashedCalls;
     std::vector<std::string> unanswered;
@@ -121,7 +121,7 @@
     lost_call call() const { return { "r", fingerprintOf("POST", "/draft", "key", ""), 0, context.now(), context.now() }; }
     void look(const std::string& address)
     {
-        watch.noteLost(life, address, call());
+        watch.recordLost(life, address, call());
         const instant end = context.now() + longest;
         while (!watch.undecided().empty() && context.now() < end) {
             context.io().restart();
@@ -215,7 +215,7 @@
     watching_process process;
     server dying(process.context.io());
     asio::co_spawn(process.context.io(), endAfter(process.context.io(), dying, listensFor), asio::detached);
-    process.watch.noteLost(life, dying.address(), process.call());
+    process.watch.recordLost(life, dying.address(), process.call());
     process.waitForLook();
     CHECK(process.found.crashedCalls == 1);
 }
@@ -225,7 +225,7 @@
     watching_process process;
     server living(process.context.io());
     asio::co_spawn(process.context.io(), living.answer(), asio::detached);
-    process.watch.noteLost(life, living.address(), process.call());
+    process.watch.recordLost(life, living.address(), process.call());
     process.waitForLook();
     CHECK(living.answered == 1);
     CHECK_FALSE(process.watch.undecided().empty());
@@ -239,7 +239,7 @@
     watching_process process;
     server living(process.context.io());
     asio::co_spawn(process.context.io(), living.serve(false), asio::detached);
-    process.watch.noteLost(life, living.address(), process.call());
+    process.watch.recordLost(life, living.address(), process.call());
     process.waitForLook();
     CHECK_FALSE(process.watch.undecided().empty());
     process.look(living.address());
--- a/Tests/platform/limit-exchange/test.cpp
+++ b/Tests/platform/limit-exchange/test.cpp
@@ -34,7 +34,7 @@
     gateway::peer_datagram makeDatagram() const override;
     void send(const std::string& host, const gateway::peer_datagram&) override;
     bool maySend() const { return limits.maySend(server, usual, boot_clock::now()); }
-    void want() { limits.want("s", { server }, usual, boot_clock::now()); }
+    void want() { limits.requestGrants("s", { server }, usual, boot_clock::now()); }
 
     network& wires;
     std::string host;
@@ -96,7 +96,7 @@
     , peers({ name, "a", peer_role::entry, 1 }, {}, milliseconds(3'000))
     , exchange(context, log, limits, peers, *this)
 {
-    limits.onQuestions([this] { exchange.ask(); });
+    limits.onGrantQuestions([this] { exchange.ask(); });
 }
 
 // With as much as a real one says of its sender.
@@ -121,7 +121,7 @@
     network made(3);
     node& knows = *made.nodes[0];
     node& starts = *made.nodes[1];
-    knows.limits.noteAnswer(server, 2.0, boot_clock::now());
+    knows.limits.recordAnswer(server, 2.0, boot_clock::now());
     gateway::peer_datagram news;
     knows.exchange.addNews(news);
     CHECK(news.limits_size() == 1);
@@ -135,7 +135,7 @@
 {
     network made(3);
     for (auto& each : made.nodes)
-        each->limits.noteAnswer(server, 20.0, boot_clock::now());
+        each->limits.recordAnswer(server, 20.0, boot_clock::now());
     node& asks = made.other();
     asks.want();
     made.settle();
@@ -154,7 +154,7 @@
 {
     network made(3);
     node& asks = made.other();
-    asks.limits.noteAnswer(server, 20.0, boot_clock::now());
+    asks.limits.recordAnswer(server, 20.0, boot_clock::now());
     made.cut.insert(made.arbiter().host);
     network::pass(joinTime);
     for (int i = 0; i < 3; ++i) {
@@ -169,9 +169,9 @@
 {
     network made(3);
     node& asks = made.other();
-    asks.limits.noteAnswer(server, 20.0, boot_clock::now());
-    made.arbiter().limits.noteAnswer(server, 20.0, boot_clock::now());
-    made.arbiter().limits.noteAnswer(server, std::nullopt, boot_clock::now() + milliseconds(2));
+    asks.limits.recordAnswer(server, 20.0, boot_clock::now());
+    made.arbiter().limits.recordAnswer(server, 20.0, boot_clock::now());
+    made.arbiter().limits.recordAnswer(server, std::nullopt, boot_clock::now() + milliseconds(2));
     network::pass(milliseconds(5));
     asks.want();
     made.settle();
--- a/Tests/platform/opening/test.cpp
+++ b/Tests/platform/opening/test.cpp
@@ -14,9 +14,9 @@
 
 const instant zero {};
 constexpr int places = 612;
-constexpr int timelyUrgency = 2;
-constexpr int lastChanceUrgency = 3;
-constexpr int lateUrgency = 4;
+constexpr int timelyPriority = 2;
+constexpr int lastChancePriority = 3;
+constexpr int latePriority = 4;
 constexpr milliseconds patience { 2'000 };
 constexpr milliseconds tick { 5 };
 
@@ -41,7 +41,7 @@
         , m_callersPerMs(callersPerMs)
     {
         m_queue.setShedding(false);
-        m_queue.reserve(lastChanceUrgency, which.lastChanceNth);
+        m_queue.reserve(lastChancePriority, which.lastChanceNth);
     }
 
     outcome run()
@@ -85,7 +85,7 @@
 
     void offer(caller who)
     {
-        admission_wait_question question;
+        admission_wait_input question;
         question.latencyTarget = milliseconds(500);
         question.firstEvent = milliseconds(250);
         question.run = milliseconds(1'500);
@@ -94,8 +94,8 @@
         question.waited = std::chrono::duration_cast<milliseconds>(m_now - who.cameAt);
         question.firstTime = !who.returned;
         const admission_wait wait = planAdmissionWait(question);
-        const int priority = who.timelyWait ? timelyUrgency : who.returned && m_rules.lastChanceNth > 0 ? lastChanceUrgency
-                                                                                                        : lateUrgency;
+        const int priority = who.timelyWait ? timelyPriority : who.returned && m_rules.lastChanceNth > 0 ? lastChancePriority
+                                                                                                         : latePriority;
         const milliseconds longest = who.timelyWait ? wait.timely : wait.late;
         admission_outcome result;
         const auto id = m_queue.offer({ "w", priority, m_now + longest }, m_now, result);
--- a/Tests/platform/retry-budget/test.cpp
+++ b/Tests/platform/retry-budget/test.cpp
@@ -27,11 +27,11 @@
     double retries = 0;
     for (std::size_t i = 0; i < entries; ++i) {
         shared_retry_budget before(bounds, zero);
-        before.setSharers(entries);
+        before.setSharingProcesses(entries);
         retries += consumeAll(before, zero + milliseconds(11'000));
         shared_retry_budget after(bounds, zero + milliseconds(12'000));
         // A process that has just started knows no other yet.
-        after.setSharers(1);
+        after.setSharingProcesses(1);
         retries += consumeAll(after, zero + milliseconds(13'000));
     }
     CHECK(retries <= bounds.allowance);
@@ -43,13 +43,13 @@
     CHECK(rc::check([] {
         const auto sharers = *rc::gen::inRange<std::size_t>(1, 40);
         shared_retry_budget budget(bounds, zero - bounds.window);
-        budget.setSharers(sharers);
+        budget.setSharingProcesses(sharers);
         std::vector<instant> requests;
         std::vector<instant> retries;
         instant now = zero;
         for (const auto gap : *rc::gen::container<std::vector<int>>(300, rc::gen::inRange(0, 200))) {
             now += milliseconds(gap);
-            budget.noteRequest("model", now);
+            budget.recordRequest("model", now);
             requests.push_back(now);
             if (budget.tryConsume("model", now))
                 retries.push_back(now);
--- a/Tests/platform/server-backoff/test.cpp
+++ b/Tests/platform/server-backoff/test.cpp
@@ -20,10 +20,10 @@
 {
     server_backoffs backoffs;
     CHECK(backoffs.maySend(server, at(0)));
-    backoffs.noteAsked(server, milliseconds(3'000), at(0));
+    backoffs.recordBackoff(server, milliseconds(3'000), at(0));
     CHECK_FALSE(backoffs.maySend(server, at(0)));
-    backoffs.noteAsked(server, milliseconds(500), at(100));
-    backoffs.noteAnswered(server, at(200));
+    backoffs.recordBackoff(server, milliseconds(500), at(100));
+    backoffs.recordAnswered(server, at(200));
     CHECK_FALSE(backoffs.maySend(server, at(2'999)));
     CHECK(backoffs.maySend(server, at(3'000)));
     CHECK(backoffs.maySend(other, at(0)));
@@ -32,19 +32,19 @@
 TEST_CASE("after a backoff one request goes first, and others after its answer")
 {
     server_backoffs backoffs;
-    backoffs.noteAsked(server, milliseconds(1'000), at(0));
+    backoffs.recordBackoff(server, milliseconds(1'000), at(0));
     backoffs.recordSent(server, at(1'000));
     CHECK_FALSE(backoffs.maySend(server, at(1'100)));
     SUBCASE("its answer asks for no further backoff")
     {
-        backoffs.noteAnswered(server, at(1'100));
+        backoffs.recordAnswered(server, at(1'100));
         CHECK(backoffs.maySend(server, at(1'100)));
         backoffs.recordSent(server, at(1'100));
         CHECK(backoffs.maySend(server, at(1'100)));
     }
     SUBCASE("it is refused again")
     {
-        backoffs.noteAsked(server, milliseconds(1'000), at(1'100));
+        backoffs.recordBackoff(server, milliseconds(1'000), at(1'100));
         CHECK_FALSE(backoffs.maySend(server, at(2'099)));
         CHECK(backoffs.maySend(server, at(2'100)));
     }
@@ -57,7 +57,7 @@
 TEST_CASE("a restart of the server ends the backoff")
 {
     server_backoffs backoffs;
-    backoffs.noteAsked(server, milliseconds(1'000), at(0));
+    backoffs.recordBackoff(server, milliseconds(1'000), at(0));
     backoffs.forget(server);
     CHECK(backoffs.maySend(server, at(1)));
 }
@@ -66,9 +66,9 @@
 {
     server_backoffs backoffs;
     CHECK_FALSE(backoffs.untilFirst({}, at(0)).has_value());
-    backoffs.noteAsked(server, milliseconds(1'000), at(0));
+    backoffs.recordBackoff(server, milliseconds(1'000), at(0));
     CHECK_FALSE(backoffs.untilFirst({ server, other }, at(0)).has_value());
-    backoffs.noteAsked(other, milliseconds(400), at(0));
+    backoffs.recordBackoff(other, milliseconds(400), at(0));
     CHECK((backoffs.untilFirst({ server, other }, at(100)) == milliseconds(300)));
     CHECK_FALSE(backoffs.untilFirst({ server, other }, at(400)).has_value());
 }
@@ -82,7 +82,7 @@
     group_board groups { milliseconds(1'500) };
     std::mt19937_64 random(1);
     server_backpressure backpressure;
-    backpressure.backoffs.noteAsked(backendHash("a"), milliseconds(1'000), at(0));
+    backpressure.backoffs.recordBackoff(backendHash("a"), milliseconds(1'000), at(0));
     upstream_question question;
     question.service = "model";
     question.now = at(100);
--- a/Tests/platform/server-limit/choice.cpp
+++ b/Tests/platform/server-limit/choice.cpp
@@ -24,8 +24,8 @@
     std::string choose() { return upstream_choice().choose(question, backends, loads, groups, backpressure, random); }
     void name(const std::string& id, int granted)
     {
-        backpressure.limits.noteAnswer(backendHash(id), 2.0, now);
-        backpressure.limits.noteGranted({ backendHash(id), granted, milliseconds(500) }, now);
+        backpressure.limits.recordAnswer(backendHash(id), 2.0, now);
+        backpressure.limits.recordGranted({ backendHash(id), granted, milliseconds(500) }, now);
     }
 
     backend_directory backends;
--- a/Tests/platform/server-limit/fleet.cpp
+++ b/Tests/platform/server-limit/fleet.cpp
@@ -1,6 +1,6 @@
 // A whole fleet of entry VMs that send to one server with a limit: they stay within the limit and use it, and
 // the arbiter is not asked too often.
-#include "policy/grant_office.h"
+#include "policy/limit_arbiter.h"
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -38,7 +38,7 @@
     void run(double demand)
     {
         for (auto& entry : m_entries)
-            entry.noteAnswer(server, m_limit, zero);
+            entry.recordAnswer(server, m_limit, zero);
         std::exponential_distribution<double> pause(demand / 1'000);
         for (double now = 0; now < lengthMs; now += pause(m_random))
             request(zero + milliseconds(static_cast<int>(now)));
@@ -72,7 +72,7 @@
         limits.requestGrants("model", { server }, usual, now);
         for (const auto& question : limits.takeQuestions()) {
             m_questions += now - zero >= milliseconds(settledMs) ? 1 : 0;
-            limits.noteGranted(m_arbiter.answer(std::to_string(index), question, m_limit, now), now);
+            limits.recordGranted(m_arbiter.answer(std::to_string(index), question, m_limit, now), now);
         }
         if (!limits.maySend(server, usual, now))
             return;
@@ -84,7 +84,7 @@
 
     double m_limit;
     std::vector<server_limits> m_entries;
-    grant_office m_arbiter;
+    limit_arbiter m_arbiter;
     std::vector<instant> m_arrivals;
     int m_questions = 0;
     std::mt19937_64 m_random;
--- a/Tests/platform/server-limit/office.cpp
+++ b/Tests/platform/server-limit/office.cpp
@@ -1,6 +1,6 @@
 // The arbiter of a limit grants no more than the limit allows, however many processes ask and how often, and
 // grants to more urgent requests first.
-#include "policy/grant_office.h"
+#include "policy/limit_arbiter.h"
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
         const double limit = *rc::gen::elementOf(std::vector<double> { 0.2, 1, 1.3, 5, 40, 300 });
         const auto pauses = *rc::gen::container<std::vector<int>>(400, rc::gen::inRange(0, 120));
         const auto wanted = *rc::gen::container<std::vector<int>>(400, rc::gen::inRange(1, 51));
-        grant_office arbiter;
+        limit_arbiter arbiter;
         std::vector<std::pair<int, int>> granted;
         int now = 0;
         for (std::size_t i = 0; i < pauses.size(); ++i) {
@@ -45,28 +45,28 @@
 
 TEST_CASE("an arbiter that knows half of the fleet grants half")
 {
-    grant_office whole;
-    grant_office half;
-    whole.noteFleet(6, at(0));
-    half.noteFleet(6, at(0));
+    limit_arbiter whole;
+    limit_arbiter half;
+    whole.recordFleetSize(6, at(0));
+    half.recordFleetSize(6, at(0));
     int granted = 0;
     int grantedByHalf = 0;
     for (int now = 0; now < 20'000; now += 100) {
-        half.noteFleet(3, at(now));
+        half.recordFleetSize(3, at(now));
         granted += whole.answer("vm", { server, 50, 0 }, 10, at(now)).granted;
         grantedByHalf += half.answer("vm", { server, 50, 0 }, 10, at(now)).granted;
     }
     CHECK(granted >= 170);
     CHECK(grantedByHalf <= granted / 2 + 2);
     // After a while the smaller fleet counts as the whole fleet.
-    half.noteFleet(3, at(40'000));
+    half.recordFleetSize(3, at(40'000));
     half.answer("vm", { server, 50, 0 }, 10, at(40'000));
     CHECK(half.answer("vm", { server, 50, 0 }, 10, at(41'000)).granted >= 8);
 }
 
 TEST_CASE("scarce grants go to the more urgent requests, the rest to the others")
 {
-    grant_office arbiter;
+    limit_arbiter arbiter;
     int urgent = 0;
     int other = 0;
     for (int now = 0; now < 20'000; now += 50) {
@@ -82,7 +82,7 @@
 
 TEST_CASE("a server with a limit of zero gets a request now and then, so that the end of the limit is found")
 {
-    grant_office arbiter;
+    limit_arbiter arbiter;
     int granted = 0;
     for (int now = 0; now < 60'000; now += 200)
         granted += arbiter.answer("a", { server, 5, 0 }, 0, at(now)).granted;
--- a/Tests/platform/server-limit/words.cpp
+++ b/Tests/platform/server-limit/words.cpp
@@ -18,7 +18,7 @@
 TEST_CASE("a server that reports no limit accepts any number of requests")
 {
     server_limits limits;
-    limits.noteAnswer(server, std::nullopt, at(0));
+    limits.recordAnswer(server, std::nullopt, at(0));
     CHECK_FALSE(limits.any());
     CHECK(limits.maySend(server, usual, at(0)));
 }
@@ -26,20 +26,20 @@
 TEST_CASE("the newest report about a limit applies, whichever process received it")
 {
     server_limits limits;
-    limits.noteAnswer(server, 2.0, at(1'000));
+    limits.recordAnswer(server, 2.0, at(1'000));
     limits.mergeReport(server, { std::nullopt, at(500) }, at(1'100));
     CHECK((limits.limitOf(server, at(1'100)) == 2.0));
     limits.mergeReport(server, { 5.0, at(1'200) }, at(1'300));
     CHECK((limits.limitOf(server, at(1'300)) == 5.0));
     CHECK_FALSE(limits.maySend(server, usual, at(1'300)));
-    limits.noteAnswer(server, std::nullopt, at(1'400));
+    limits.recordAnswer(server, std::nullopt, at(1'400));
     CHECK(limits.maySend(server, usual, at(1'400)));
 }
 
 TEST_CASE("a report about a limit ends with the server's incarnation")
 {
     server_limits limits;
-    limits.noteAnswer(server, 2.0, at(0));
+    limits.recordAnswer(server, 2.0, at(0));
     limits.forget(server, at(100));
     CHECK(limits.maySend(server, usual, at(100)));
     limits.mergeReport(server, { 2.0, at(50) }, at(150));
@@ -51,7 +51,7 @@
 TEST_CASE("a limit that is not confirmed for half a minute does not apply any more")
 {
     server_limits limits;
-    limits.noteAnswer(server, 2.0, at(0));
+    limits.recordAnswer(server, 2.0, at(0));
     CHECK_FALSE(limits.maySend(server, usual, at(29'000)));
     CHECK(limits.maySend(server, usual, at(30'000)));
 }
@@ -59,11 +59,11 @@
 TEST_CASE("a change is sent to peers for a second, and a repeated report is no change")
 {
     server_limits limits;
-    limits.noteAnswer(server, 2.0, at(0));
+    limits.recordAnswer(server, 2.0, at(0));
     CHECK(limits.recentChanges(at(900)).size() == 1);
-    limits.noteAnswer(server, 2.02, at(800));
+    limits.recordAnswer(server, 2.02, at(800));
     CHECK(limits.recentChanges(at(1'100)).empty());
-    limits.noteAnswer(server, std::nullopt, at(1'200));
+    limits.recordAnswer(server, std::nullopt, at(1'200));
     REQUIRE(limits.recentChanges(at(1'300)).size() == 1);
     CHECK_FALSE(limits.recentChanges(at(1'300)).front().second.perSecond.has_value());
     CHECK(limits.currentLimits(10, at(1'300)).empty());
@@ -72,15 +72,15 @@
 TEST_CASE("a grant allows one request, and expires after a second")
 {
     server_limits limits;
-    limits.noteAnswer(server, 2.0, at(0));
+    limits.recordAnswer(server, 2.0, at(0));
     int asked = 0;
-    limits.onQuestions([&] { ++asked; });
+    limits.onGrantQuestions([&] { ++asked; });
     limits.requestGrants("s", { server }, usual, at(0));
     CHECK(limits.takeQuestions().size() == 1);
     limits.requestGrants("s", { server }, usual, at(10));
     CHECK(asked == 1);
     CHECK(limits.awaitsAnswer(server, at(10)));
-    limits.noteGranted({ server, 2, milliseconds(500) }, at(20));
+    limits.recordGranted({ server, 2, milliseconds(500) }, at(20));
     CHECK(limits.maySend(server, usual, at(30)));
     limits.useGrant(server, at(30));
     CHECK(limits.maySend(server, usual, at(30)));
@@ -94,9 +94,9 @@
 TEST_CASE("a grant is reserved for half of its lifetime while more urgent requests go unserved")
 {
     server_limits limits;
-    limits.noteAnswer(server, 2.0, at(0));
-    limits.noteUnserved(0, at(0));
-    limits.noteGranted({ server, 1, milliseconds(500) }, at(10));
+    limits.recordAnswer(server, 2.0, at(0));
+    limits.recordUnserved(0, at(0));
+    limits.recordGranted({ server, 1, milliseconds(500) }, at(10));
     CHECK(limits.maySend(server, 0, at(20)));
     CHECK_FALSE(limits.maySend(server, usual, at(20)));
     CHECK(limits.maySend(server, usual, at(600)));
@@ -105,7 +105,7 @@
 TEST_CASE("a lost question for a grant is asked again")
 {
     server_limits limits;
-    limits.noteAnswer(server, 2.0, at(0));
+    limits.recordAnswer(server, 2.0, at(0));
     limits.requestGrants("s", { server }, usual, at(0));
     limits.takeQuestions();
     limits.requestGrants("s", { server }, usual, at(299));
--- a/Tests/platform/silent-engine/test.cpp
+++ b/Tests/platform/silent-engine/test.cpp
@@ -30,10 +30,10 @@
     outcome seen;
     delay_estimate typicalDelay(milliseconds(200));
     shared_retry_budget budget({ 0.2, 234, milliseconds(10'000), 0.8 }, zero - milliseconds(20'000));
-    budget.setSharers(42);
+    budget.setSharingProcesses(42);
     for (instant now = zero; now < zero + length; now += milliseconds(143)) {
         ++seen.requests;
-        budget.noteRequest("model", now);
+        budget.recordRequest("model", now);
         const milliseconds first = firstEvent(now);
         const auto limit = firstEventLimit({ typicalDelay.value(), target, patience, milliseconds(0) });
         if (!limit || first <= *limit || !budget.allowsRetry("model", now)) {
--- a/Tests/platform/suspected-request/test.cpp
+++ b/Tests/platform/suspected-request/test.cpp
@@ -25,7 +25,7 @@
 crash_history crashedOnce(std::uint64_t events = 0)
 {
     crash_history history;
-    history.noteCrash(suspect, 10, events, zero);
+    history.recordCrash(suspect, 10, events, zero);
     return history;
 }
 
@@ -42,7 +42,7 @@
     CHECK_FALSE(maySend(history, zero + minute - milliseconds(1), true));
     // A refusal does not prolong the suspicion, as it does prolong a block.
     CHECK(maySend(history, zero + minute, true));
-    CHECK_FALSE(history.barredFor(suspect, zero));
+    CHECK_FALSE(history.blockedFor(suspect, zero));
 }
 
 TEST_CASE("a process that has sent a copy is notified of the crash, once")
@@ -50,7 +50,7 @@
     crash_history history;
     std::vector<request_fingerprint> notified;
     history.onChange([&](request_fingerprint request) {
-        CHECK(history.isPutOff(request, zero));
+        CHECK(history.isBlockedOrSuspected(request, zero));
         notified.push_back(request);
     });
     const crash_record record { suspect, { { 10, true } }, false };
@@ -64,52 +64,52 @@
     auto history = crashedOnce();
     const instant later = zero + minute * 5;
     history.expire(later);
-    history.noteCrash(suspect, 11, 0, later);
-    CHECK(history.barredFor(suspect, later));
+    history.recordCrash(suspect, 11, 0, later);
+    CHECK(history.blockedFor(suspect, later));
 }
 
 TEST_CASE("after that minute one process makes isolated attempts, one at a time")
 {
     auto chosen = crashedOnce();
     auto other = crashedOnce();
-    other.setTrialChoice([](request_fingerprint) { return false; });
+    other.setIsolatedAttemptFilter([](request_fingerprint) { return false; });
     const instant later = zero + minute;
     CHECK_FALSE(maySend(other, later, true));
     REQUIRE(maySend(chosen, later, true));
-    CHECK(chosen.beginTrial(suspect, later));
+    CHECK(chosen.beginIsolatedAttempt(suspect, later));
     CHECK_FALSE(maySend(chosen, later, true));
     SUBCASE("refused by the server")
     {
-        chosen.endTrial(suspect, false, later);
+        chosen.endIsolatedAttempt(suspect, false, later);
         CHECK(maySend(chosen, later, true));
     }
     SUBCASE("broken off by the server: until it is known whether that has crashed")
     {
-        chosen.endTrial(suspect, true, later);
+        chosen.endIsolatedAttempt(suspect, true, later);
         CHECK_FALSE(maySend(chosen, later + milliseconds(499), true));
         CHECK(maySend(chosen, later + milliseconds(500), true));
     }
     SUBCASE("served: it is cleared, here and at a peer that gets the update")
     {
-        chosen.noteServed(suspect, later);
-        chosen.endTrial(suspect, false, later);
-        for (const auto& [record, age] : chosen.takeNews(20, later))
+        chosen.recordServed(suspect, later);
+        chosen.endIsolatedAttempt(suspect, false, later);
+        for (const auto& [record, age] : chosen.takeUpdates(20, later))
             other.merge(record, age, later);
         CHECK(maySend(chosen, later, true));
         CHECK(maySend(other, later, true));
-        CHECK_FALSE(chosen.beginTrial(suspect, later));
+        CHECK_FALSE(chosen.beginIsolatedAttempt(suspect, later));
     }
 }
 
 TEST_CASE("where a crash stops only one server, the caller's retry goes on and copies wait for it")
 {
     auto history = crashedOnce();
-    history.setTrialChoice([](request_fingerprint) { return false; });
+    history.setIsolatedAttemptFilter([](request_fingerprint) { return false; });
     CHECK(maySend(history, zero, false, true));
     CHECK_FALSE(maySend(history, zero, false));
-    REQUIRE(history.beginTrial(suspect, zero));
+    REQUIRE(history.beginIsolatedAttempt(suspect, zero));
     CHECK_FALSE(maySend(history, zero, false, true));
-    history.endTrial(suspect, false, zero);
+    history.endIsolatedAttempt(suspect, false, zero);
     CHECK(maySend(history, zero, false, true));
     // A single server is soon restarted, and there are many others.
     CHECK(maySend(history, zero + minute, false));
@@ -125,35 +125,35 @@
     SUBCASE("a server ran it to its end")
     {
         auto history = crashedOnce();
-        history.noteServed(suspect, zero);
+        history.recordServed(suspect, zero);
         CHECK(maySend(history, zero, true));
-        CHECK(history.whyLetThrough(suspect, zero) == "a server ran it to its end");
-        CHECK(history.whyLetThrough({ 2 }, zero).empty());
+        CHECK(history.clearanceReason(suspect, zero) == "a server ran it to its end");
+        CHECK(history.clearanceReason({ 2 }, zero).empty());
     }
     SUBCASE("another request crashed more")
     {
         auto history = crashedOnce();
-        history.noteCrash({ 2 }, 10, 0, zero);
-        history.noteCrash({ 2 }, 11, 0, zero + minute);
+        history.recordCrash({ 2 }, 10, 0, zero);
+        history.recordCrash({ 2 }, 11, 0, zero + minute);
         CHECK(maySend(history, zero + milliseconds(1), true));
     }
     SUBCASE("more servers crashed at the same moment without it, and all updates about that have arrived")
     {
         auto history = crashedOnce();
-        history.noteCrash({ 2 }, 11, 0, zero + milliseconds(900));
-        history.noteCrash({ 3 }, 12, 0, zero + milliseconds(300));
+        history.recordCrash({ 2 }, 11, 0, zero + milliseconds(900));
+        history.recordCrash({ 3 }, 12, 0, zero + milliseconds(300));
         CHECK(maySend(history, zero + milliseconds(1'400), true));
     }
     SUBCASE("but not if it ran on all of those")
     {
         auto history = crashedOnce();
-        history.noteCrash(suspect, 11, manyEvents, zero + milliseconds(900));
+        history.recordCrash(suspect, 11, manyEvents, zero + milliseconds(900));
         CHECK_FALSE(maySend(history, zero, true));
     }
     SUBCASE("nor if they crashed long after")
     {
         auto history = crashedOnce();
-        history.noteCrash({ 2 }, 11, 0, zero + milliseconds(1'000));
+        history.recordCrash({ 2 }, 11, 0, zero + milliseconds(1'000));
         CHECK_FALSE(maySend(history, zero, true));
     }
 }
@@ -161,10 +161,10 @@
 TEST_CASE("the crash of one other server at the same moment clears no request")
 {
     auto history = crashedOnce();
-    history.noteCrash({ 2 }, 11, manyEvents, zero + milliseconds(29));
+    history.recordCrash({ 2 }, 11, manyEvents, zero + milliseconds(29));
     for (const milliseconds after : { milliseconds(29), milliseconds(4'300) }) {
         CAPTURE(after.count());
-        CHECK(history.isPutOff(suspect, zero + after));
+        CHECK(history.isBlockedOrSuspected(suspect, zero + after));
         CHECK_FALSE(maySend(history, zero + after, true));
     }
 }
@@ -174,22 +174,22 @@
     constexpr milliseconds beside { 40 };
     constexpr milliseconds gossipTime { 500 };
     auto history = crashedOnce();
-    CHECK_FALSE(history.undecidedUntil(suspect, zero));
+    CHECK_FALSE(history.clearancePendingUntil(suspect, zero));
     for (std::uint32_t server = 11; server < 15; ++server)
-        history.noteCrash({ server }, server, 0, zero + beside);
+        history.recordCrash({ server }, server, 0, zero + beside);
     const instant known = zero + beside + gossipTime;
-    CHECK((history.undecidedUntil(suspect, zero + beside) == known));
+    CHECK((history.clearancePendingUntil(suspect, zero + beside) == known));
     CHECK_FALSE(maySend(history, known - milliseconds(1), true));
     SUBCASE("no update arrived")
     {
         CHECK(maySend(history, known, true));
-        CHECK(history.whyLetThrough(suspect, known) == "more servers crashed at the same moment without it");
-        CHECK_FALSE(history.undecidedUntil(suspect, known));
+        CHECK(history.clearanceReason(suspect, known) == "more servers crashed at the same moment without it");
+        CHECK_FALSE(history.clearancePendingUntil(suspect, known));
     }
     SUBCASE("it had run on half of the servers")
     {
-        history.noteCrash(suspect, 11, manyEvents, known - milliseconds(1));
-        history.noteCrash(suspect, 12, manyEvents, known - milliseconds(1));
+        history.recordCrash(suspect, 11, manyEvents, known - milliseconds(1));
+        history.recordCrash(suspect, 12, manyEvents, known - milliseconds(1));
         CHECK_FALSE(maySend(history, known, true));
     }
 }
@@ -227,7 +227,7 @@
         std::erase_if(running, [&](const copy& each) {
             if (now - each.sentAt < runsUntilCrash)
                 return false;
-            histories[each.entry].noteCrash(suspect, ++crashes, 0, now);
+            histories[each.entry].recordCrash(suspect, ++crashes, 0, now);
             updates.emplace_back(now + gossipTime, crashes);
             closedUntil = now + closure;
             return true;
--- a/Tests/platform/try-rules/test.cpp
+++ b/Tests/platform/try-rules/test.cpp
@@ -1,5 +1,5 @@
 // When a request may be sent to another server.
-#include "policy/try_rules.h"
+#include "policy/attempt_rules.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -9,7 +9,7 @@
 TEST_CASE("a request that may have run is sent again only if it may run twice")
 {
     CHECK(rc::check([] {
-        another_try_question question;
+        further_attempt_input question;
         question.ran = *rc::gen::element(verdict::not_run, verdict::may_have_run, verdict::ran);
         question.repeatable = *rc::gen::arbitrary<bool>();
         question.resumable = *rc::gen::arbitrary<bool>();
@@ -17,14 +17,14 @@
         question.possibleRuns = *rc::gen::inRange(0, 5);
         question.serversTried = *rc::gen::inRange<std::size_t>(0, 12);
         question.answerBegun = *rc::gen::arbitrary<bool>();
-        if (!mayTryAgain(question))
+        if (!mayAttemptAgain(question))
             return;
         RC_ASSERT(question.ran == verdict::not_run || question.repeatable);
         RC_ASSERT(!question.answerBegun || question.resumable);
         RC_ASSERT(question.possibleRuns < question.maxAttempts);
     }));
-    CHECK(mayTryAgain({ verdict::not_run, false, false, 1, 0, 1, false }));
-    CHECK_FALSE(mayTryAgain({ verdict::not_run, false, false, 1, 0, 8, false }));
+    CHECK(mayAttemptAgain({ verdict::not_run, false, false, 1, 0, 1, false }));
+    CHECK_FALSE(mayAttemptAgain({ verdict::not_run, false, false, 1, 0, 8, false }));
 }
 
 TEST_CASE("a silent stream is resumed elsewhere sooner if another group can resume it")
--- a/Tests/requests/at-most-once-property/once_model.cpp
+++ b/Tests/requests/at-most-once-property/once_model.cpp
@@ -150,7 +150,7 @@
     for (std::size_t asker = 0; asker < agentCount; ++asker) {
         for (std::size_t asked = 0; asked < agentCount; ++asked) {
             if (asker != asked && m_agents[asker].alive && m_agents[asked].alive)
-                m_agents[asker].guard->takeHandover(m_agents[asked].guard->answerHandover(m_agents[asker].guard->ownership().standing(), false, m_now), m_now);
+                m_agents[asker].guard->acceptHandover(m_agents[asked].guard->answerHandover(m_agents[asker].guard->ownership().standing(), false, m_now), m_now);
         }
     }
 }
@@ -190,9 +190,9 @@
         break;
     default:
         if (takeBack)
-            from.guard->takeMemoryBack(made.answer, m_now);
+            from.guard->restoreMemory(made.answer, m_now);
         else
-            from.guard->takeHandover(made.answer, m_now);
+            from.guard->acceptHandover(made.answer, m_now);
     }
 }
 
@@ -209,9 +209,9 @@
     if (!from.alive || from.incarnation != late.askerIncarnation)
         return;
     if (late.memoryBack)
-        from.guard->takeMemoryBack(late.answer, m_now);
+        from.guard->restoreMemory(late.answer, m_now);
     else
-        from.guard->takeHandover(late.answer, m_now);
+        from.guard->acceptHandover(late.answer, m_now);
 }
 
 void once_model::crash(std::size_t which)
@@ -246,7 +246,7 @@
         agent& keeper = m_agents[index];
         if (!keeper.alive)
             continue;
-        const bool accepted = keeper.guard->takeDeposit(*deposit, m_now);
+        const bool accepted = keeper.guard->acceptDeposit(*deposit, m_now);
         const bool replyLost = m_choices.below(4) == 0;
         // After a lost answer no other standby may be asked.
         if (accepted || replyLost)
--- a/Tests/requests/at-most-once-property/stale_restart.cpp
+++ b/Tests/requests/at-most-once-property/stale_restart.cpp
@@ -47,7 +47,7 @@
         for (auto& asker : agents) {
             for (auto& asked : agents) {
                 if (asker != asked)
-                    asker->takeHandover(asked->answerHandover(asker->ownership().standing(), false, now), now);
+                    asker->acceptHandover(asked->answerHandover(asker->ownership().standing(), false, now), now);
             }
         }
     };
--- a/Tests/requests/engine-intake/test.cpp
+++ b/Tests/requests/engine-intake/test.cpp
@@ -1,5 +1,5 @@
 // An agent passes on to its engine no more than the engine's current incarnation asks for.
-#include "policy/engine_intake.h"
+#include "policy/engine_throttle.h"
 
 #include <doctest/doctest.h>
 
@@ -13,26 +13,26 @@
 
 TEST_CASE("an engine's limit applies from its first report until a report without it, or until the engine's restart")
 {
-    engine_intake intake;
+    engine_throttle intake;
     CHECK(intake.enter("e1", at(0)).has_value());
-    intake.noteLimit(2.0, at(0));
+    intake.recordReportedLimit(2.0, at(0));
     CHECK_FALSE(intake.enter("e1", at(0)).has_value());
     int taken = 0;
     for (int now = 0; now < 10'000; now += 10)
         taken += intake.enter("e1", at(now)).has_value() ? 1 : 0;
     CHECK(taken >= 18);
     CHECK(taken <= 22);
-    intake.noteLimit(std::nullopt, at(10'000));
+    intake.recordReportedLimit(std::nullopt, at(10'000));
     CHECK(intake.enter("e1", at(10'000)).has_value());
-    intake.noteLimit(2.0, at(10'000));
+    intake.recordReportedLimit(2.0, at(10'000));
     intake.forget();
     CHECK(intake.enter("e1", at(10'000)).has_value());
 }
 
 TEST_CASE("entry VMs that an engine's limit refused are told different times to retry")
 {
-    engine_intake intake;
-    intake.noteLimit(1.0, at(0));
+    engine_throttle intake;
+    intake.recordReportedLimit(1.0, at(0));
     milliseconds last { 0 };
     for (const std::string entry : { "e1", "e2", "e3", "e4" }) {
         const auto refused = intake.enter(entry, at(0));
@@ -45,8 +45,8 @@
 
 TEST_CASE("an engine that accepts nothing gets a request now and then")
 {
-    engine_intake intake;
-    intake.noteLimit(0.0, at(0));
+    engine_throttle intake;
+    intake.recordReportedLimit(0.0, at(0));
     int taken = 0;
     for (int now = 0; now < 60'000; now += 100)
         taken += intake.enter("e1", at(now)).has_value() ? 1 : 0;
@@ -56,9 +56,9 @@
 
 TEST_CASE("an engine's backoff is not shortened, and ends with the engine's restart")
 {
-    engine_intake intake;
-    intake.noteBackoff(milliseconds(3'000), at(0));
-    intake.noteBackoff(milliseconds(500), at(100));
+    engine_throttle intake;
+    intake.recordBackoff(milliseconds(3'000), at(0));
+    intake.recordBackoff(milliseconds(500), at(100));
     const auto refused = intake.enter("e1", at(1'000));
     REQUIRE_FALSE(refused.has_value());
     CHECK((refused.error().reason == failure_reason::server_backoff));
--- a/Tests/requests/permit-property/test.cpp
+++ b/Tests/requests/permit-property/test.cpp
@@ -1,7 +1,7 @@
 // Permits and pauses: requests that an entry VM sends after it was paused, with an old permit, are refused.
 
 #include "policy/pause_detector.h"
-#include "policy/permit_office.h"
+#include "policy/permit_issuer.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -17,18 +17,18 @@
 TEST_CASE("a permit is valid for its lifetime on the agent's clock and no longer")
 {
     CHECK(rc::check("permit life", [] {
-        const permit_office issuer(7, start);
+        const permit_issuer issuer(7, start);
         const auto issued = milliseconds(*rc::gen::inRange(0, 1'000'000));
         const auto age = milliseconds(*rc::gen::inRange(0, 10'000));
         const std::string permit = issuer.issue(start + issued);
-        RC_ASSERT(issuer.check(permit, start + issued + age).has_value() == (age <= permitLife));
+        RC_ASSERT(issuer.check(permit, start + issued + age).has_value() == (age <= permitLifetime));
     }));
 }
 
 TEST_CASE("a permit of another incarnation, of the future, or malformed is refused as not run")
 {
-    const permit_office issuer(7, start);
-    CHECK((permit_office(8, start).check(issuer.issue(start), start).error().ran == verdict::not_run));
+    const permit_issuer issuer(7, start);
+    CHECK((permit_issuer(8, start).check(issuer.issue(start), start).error().ran == verdict::not_run));
     CHECK(issuer.check(issuer.issue(start + milliseconds(50)), start).has_error());
     CHECK(rc::check("any text", [&](const std::string& text) {
         const auto checked = issuer.check(text, start);
--- a/Tests/requests/retry-property/test.cpp
+++ b/Tests/requests/retry-property/test.cpp
@@ -17,7 +17,7 @@
 {
     CHECK(rc::check("safe retries", [] {
         retry_budget budget(100);
-        retry_question question;
+        retry_input question;
         question.last.ran = *rc::gen::element(verdict::not_run, verdict::may_have_run, verdict::ran);
         question.last.reason = static_cast<failure_reason>(*rc::gen::inRange(0, 20));
         question.repeatable = *rc::gen::arbitrary<bool>();
@@ -31,7 +31,7 @@
         RC_ASSERT(question.repeatable || question.last.ran == verdict::not_run);
         RC_ASSERT(!question.answerStarted);
         RC_ASSERT(question.otherBackendLeft);
-        RC_ASSERT(question.attemptsMade < maxTries);
+        RC_ASSERT(question.attemptsMade < maxRequestAttempts);
         RC_ASSERT(question.now < question.deadline);
     }));
 }
@@ -42,8 +42,8 @@
     constexpr int requests = 10'000;
     int attempts = 0;
     for (int i = 0; i < requests; ++i) {
-        budget.noteRequest();
-        retry_question question { notRun(failure_reason::connection_lost, ""), true, false, true, 1, start + milliseconds(100), start };
+        budget.recordRequest();
+        retry_input question { notRun(failure_reason::connection_lost, ""), true, false, true, 1, start + milliseconds(100), start };
         ++attempts;
         while (mayRetry(question, budget)) {
             ++attempts;
