--- a/Source/policy/agent_reach.cpp
+++ b/Source/policy/agent_reach.cpp
@@ -4,26 +4,27 @@
 
 namespace {
 
-    // Until its agent is tried again the engine is asked directly. Machines that were killed
-    // are back after some seconds: a fifth of that, so that little is asked in vain.
-    constexpr milliseconds silentFor { 700 };
+    // How long an unreachable agent is bypassed, with direct calls to its engine, before it is
+    // called again. A killed machine is back after a few seconds; a fifth of that notices its
+    // return early and wastes few calls.
+    constexpr milliseconds bypassTime { 700 };
 
 } // namespace
 
-void agent_reach::note(const std::string& backendId, bool reached, instant now)
+void agent_reach::record(const std::string& backendId, bool reached, instant now)
 {
     if (reached)
-        m_unreachedAt.erase(backendId);
+        m_failedAt.erase(backendId);
     else
-        m_unreachedAt[backendId] = now;
+        m_failedAt[backendId] = now;
 }
 
-agent_trust agent_reach::trust(const std::string& backendId, instant now) const
+agent_trust agent_reach::reachability(const std::string& backendId, instant now) const
 {
-    const auto unreached = m_unreachedAt.find(backendId);
-    if (unreached == m_unreachedAt.end())
-        return agent_trust::good;
-    return now - unreached->second < silentFor ? agent_trust::silent : agent_trust::doubtful;
+    const auto failed = m_failedAt.find(backendId);
+    if (failed == m_failedAt.end())
+        return agent_trust::forwards;
+    return now - failed->second < bypassTime ? agent_trust::unreachable : agent_trust::answers_only;
 }
 
 } // namespace rampgap
--- a/Source/policy/agent_reach.h
+++ b/Source/policy/agent_reach.h
@@ -1,4 +1,4 @@
-// Which agents of a group answer calls, as their leader finds out.
+// Tracks which agents of a group answer the calls of their leader.
 #pragma once
 
 #include "policy/call_tree.h"
@@ -8,16 +8,16 @@
 
 namespace rampgap {
 
-// Load pattern: of a hundred machines some are always killed, cut off or standing still. One
-// that does not answer costs one call its time, not each call.
+// Load pattern: of a hundred machines a few are always down, cut off or stalled. An agent that
+// does not answer delays one call up to its timeout; later calls bypass it.
 class agent_reach {
 public:
-    void note(const std::string& backendId, bool reached, instant now);
-    agent_trust trust(const std::string& backendId, instant now) const;
+    void record(const std::string& backendId, bool reached, instant now);
+    agent_trust reachability(const std::string& backendId, instant now) const;
 
 private:
-    // Since when each of those that did not answer is known to be silent.
-    std::map<std::string, instant> m_unreachedAt;
+    // When each agent that cannot be reached last failed to answer.
+    std::map<std::string, instant> m_failedAt;
 };
 
 } // namespace rampgap
--- a/Source/policy/call_tree.cpp
+++ b/Source/policy/call_tree.cpp
@@ -8,18 +8,18 @@
 
     constexpr double bitsPerByte = 8;
     constexpr double bitsPerMsAtOneMbps = 1'000;
-    // Two round trips between zones, and a process whose core's share is spent for the rest of a
-    // tenth of a second.
+    // Time for one level of the tree: two round trips between zones, and a process that has used
+    // up its share of a core and is paused for the rest of a tenth of a second.
     constexpr milliseconds levelTime { 100 };
     constexpr double transferMargin = 2;
-    // The rest of the link is for placements, the list of servers and membership.
-    constexpr double lookShare = 0.25;
-    // A rank in a look and its state in the answer.
+    // Share of the link for polls; the rest is for placements, the list of servers and membership.
+    constexpr double pollShareOfLink = 0.25;
+    // One rank in a poll, and its state in the answer.
     constexpr std::size_t rankBytes = 78;
-    // Of HTTP and TCP around a call and its answer.
-    constexpr std::size_t envelopeBytes = 600;
-    // A shift of demand must show within 0.3 s.
-    constexpr int mostLooksPerCounts = 2;
+    // HTTP and TCP overhead of a call and its answer.
+    constexpr std::size_t overheadBytes = 600;
+    // A shift of demand must be visible within 0.3 s.
+    constexpr int maxPollsPerCounts = 2;
 
     double transferMs(std::size_t bytes, double linkMbps)
     {
@@ -35,14 +35,14 @@
 
 std::vector<std::vector<call_target>> splitCall(const std::vector<call_target>& targets, std::size_t fanout)
 {
-    std::vector<call_target> good;
+    std::vector<call_target> forwarding;
     std::vector<call_target> others;
     for (const auto& target : targets)
-        (target.trust == agent_trust::good ? good : others).push_back(target);
+        (target.reachability == agent_trust::forwards ? forwarding : others).push_back(target);
     std::vector<std::vector<call_target>> parts(std::min(fanout, targets.size()));
-    for (std::size_t i = 0; i < good.size(); ++i)
-        parts[i * std::min(parts.size(), good.size()) / good.size()].push_back(good[i]);
-    // Those that pass nothing on are dealt out: each part has its share of slow ones.
+    for (std::size_t i = 0; i < forwarding.size(); ++i)
+        parts[i * std::min(parts.size(), forwarding.size()) / forwarding.size()].push_back(forwarding[i]);
+    // Targets whose agents forward nothing are spread evenly over the parts: each makes its part slower.
     for (std::size_t i = 0; i < others.size(); ++i)
         parts[parts.size() - 1 - i % parts.size()].push_back(others[i]);
     return parts;
@@ -68,14 +68,14 @@
 
 look_plan planLooks(const call_limits& limits, milliseconds leastPause)
 {
-    const std::size_t states = limits.targets * rankBytes + messagesAtCaller(limits) * envelopeBytes;
+    const std::size_t states = limits.targets * rankBytes + messagesAtCaller(limits) * overheadBytes;
     const std::size_t counts = messagesAtCaller(limits) * limits.largestMessage;
     look_plan plan;
     for (plan.looksPerCounts = 1;; ++plan.looksPerCounts) {
-        const auto looks = static_cast<std::size_t>(plan.looksPerCounts);
-        const double pause = transferMs(states + counts / looks, limits.linkMbps) / lookShare;
+        const auto polls = static_cast<std::size_t>(plan.looksPerCounts);
+        const double pause = transferMs(states + counts / polls, limits.linkMbps) / pollShareOfLink;
         plan.pause = std::max(leastPause, milliseconds(static_cast<std::int64_t>(pause)));
-        if (plan.pause == leastPause || plan.looksPerCounts == mostLooksPerCounts)
+        if (plan.pause == leastPause || plan.looksPerCounts == maxPollsPerCounts)
             return plan;
     }
 }
--- a/Source/policy/call_tree.h
+++ b/Source/policy/call_tree.h
@@ -1,5 +1,5 @@
-// How a call from one process reaches the ranks of a large group: from agent to agent, so that
-// no machine's link carries more than a few messages.
+// Distributes a call from one process to the ranks of a large group: agents forward it along a
+// tree, so that no machine's link carries more than a few messages.
 #pragma once
 
 #include "policy/verdict.h"
@@ -10,66 +10,68 @@
 
 namespace rampgap {
 
-// How far the agent beside an engine can be relied on.
+// How far a leader relies on the agent of an engine.
 enum class agent_trust {
-    good,
-    // Silent until lately: it is called, but passes nothing on.
-    doubtful,
+    // Answers calls and forwards them to other ranks.
+    forwards,
+    // Did not answer until recently: it is called, but forwards nothing.
+    answers_only,
     // Does not answer: its engine is called directly.
-    silent,
+    unreachable,
 };
 
 // One rank that a call is for.
 struct call_target {
-    // The caller's number for it.
+    // Number of the rank in the caller's call.
     std::uint32_t index = 0;
     std::string backendId;
     // "host:port" of its engine.
     std::string address;
-    // Placement of the order where it differs from rank to rank; otherwise 0.
+    // Placement number of the order where it differs from rank to rank; otherwise 0.
     std::uint64_t placement = 0;
-    agent_trust trust = agent_trust::good;
+    agent_trust reachability = agent_trust::forwards;
 
     bool operator==(const call_target&) const = default;
 };
 
-// Messages that one process sends for a call. Answers with counts of 16 x 258 experts have
-// 4.1 KB: six of them take 33 ms of a link of 6 Mbit/s.
+// Most messages that one process sends for a call. An answer with the counts of 16 x 258 experts
+// has 4.1 KB: six of them take 33 ms on a link of 6 Mbit/s.
 inline constexpr std::size_t callFanout = 6;
 
 // Splits a call into at most `fanout` parts, in the given order. The first target of a part
-// receives the part and passes the rest of it on; it is a good one where there are enough.
+// receives the part and forwards the rest of it; its agent is one that forwards calls, where there
+// are enough of them.
 std::vector<std::vector<call_target>> splitCall(const std::vector<call_target>&, std::size_t fanout = callFanout);
 
-// Messages one after the other from the caller to the last of so many targets.
+// Levels of the tree for so many targets: messages in sequence until the last one is reached.
 std::size_t callDepth(std::size_t targets, std::size_t fanout = callFanout);
 
-// What one node's link and time allow for calls to a group.
+// What determines how long and how often a group may be called.
 struct call_limits {
     double linkMbps = 0;
     std::size_t targets = 0;
-    // Longest message from node to node, of a request or an answer.
+    // Size in bytes of the longest request or answer between two nodes.
     std::size_t largestMessage = 0;
 };
 
-// How long a call may take: two round trips a level, and the bytes on the way through the
-// narrow links of each level, twice.
+// Time limit of a call: two round trips for each level, and twice the time to transfer the
+// messages over the slow links of each level.
 milliseconds callBudget(const call_limits&);
 
-// How often a leader looks at all ranks.
+// How often a leader polls all ranks.
 struct look_plan {
     milliseconds pause { 0 };
-    // One look of so many asks for counts of chosen experts too.
+    // One of so many polls asks for the counts of chosen experts as well.
     int looksPerCounts = 1;
 
     bool operator==(const look_plan&) const = default;
 };
 
-// The looks take a quarter of the link; `leastPause` for small groups. Load pattern: entry VMs
-// choose ranks by what the looks show, and where that is old a request waits at a full rank while
-// others have room. Counts are most of the bytes, so that where they fill the link every other
-// look goes without them: modelled at 129 ranks and 0.7 of their places taken, 0.014 of the requests are
-// late by such waits with looks each 0.1 s, 0.020 with 0.2 s.
+// Polls use a quarter of the link, with at least `leastPause` between them (small groups). Load
+// pattern: entry VMs choose ranks by the polled state; where it is old, a request waits at a full
+// rank while others have free slots. Counts make up most of the bytes, so where they would fill the
+// link every other poll omits them: modelled with 129 ranks and 0.7 of their request slots in use,
+// 0.014 of the requests are late because of such waits with polls each 0.1 s, 0.020 with 0.2 s.
 look_plan planLooks(const call_limits&, milliseconds leastPause);
 
 } // namespace rampgap
--- a/Source/policy/choice_counter.h
+++ b/Source/policy/choice_counter.h
@@ -1,4 +1,4 @@
-// Turns an engine's running counts of chosen experts into what was chosen since the last look.
+// Turns an engine's cumulative counts of chosen experts into counts since the previous call.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 
 class choice_counter {
 public:
-    // Choices since the last look; empty at the first one. Counts that fell, or that come from
-    // another incarnation of the engine, were begun anew: then all of them are new.
-    std::vector<std::uint64_t> take(std::vector<std::uint64_t> counts, std::uint64_t incarnation);
+    // Choices since the previous call; empty at the first one. Counts that decreased, or that come
+    // from another incarnation of the engine, started again from 0: then all of them are new.
+    std::vector<std::uint64_t> countSinceLast(std::vector<std::uint64_t> counts, std::uint64_t incarnation);
 
 private:
     std::uint64_t m_incarnation = 0;
--- a/Source/policy/expert_placement.h
+++ b/Source/policy/expert_placement.h
@@ -1,4 +1,4 @@
-// Which rank holds which experts of one layer, and what that means for the step time.
+// Assignment of the experts of one layer to the slots of the ranks, and the step time it gives.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 using expert_index = std::uint16_t;
 using rank_index = std::uint16_t;
 
-// Slots rank by rank: slot s of rank r is at r * slotsPerRank + s. An expert may stand in
+// Slots are ordered by rank: slot s of rank r is at r * slotsPerRank + s. An expert may be in
 // several slots: its replicas share its load evenly.
 class expert_placement {
 public:
@@ -25,9 +25,8 @@
     const std::vector<expert_index>& slots() const { return m_slots; }
 
     void set(std::size_t slot, expert_index);
-    // True if the rank holds the expert.
     bool holds(rank_index, expert_index) const;
-    // True if every expert stands somewhere.
+    // True if every expert is in at least one slot.
     bool complete() const;
 
     bool operator==(const expert_placement&) const = default;
@@ -39,11 +38,11 @@
     std::vector<std::uint16_t> m_replicas;
 };
 
-// Time of each rank in one step: its experts' shares of the tokens over its speed.
+// Time of each rank in one step: its experts' shares of the tokens, divided by its speed.
 std::vector<double> rankTimes(const expert_placement&, const std::vector<double>& popularity, const std::vector<double>& speeds);
-// Slowest over mean rank time; 1 is perfect. In lock-step all wait for the slowest.
+// Time of the slowest rank divided by the mean; 1 is perfect. In lock-step all wait for the slowest.
 double stepSkew(const std::vector<double>& rankTimes);
-// Weights to load to get from one placement to the other, slot by slot.
+// Number of slots whose weights must be loaded to change from one placement to the other.
 std::size_t weightsMoved(const expert_placement& from, const expert_placement& to);
 
 } // namespace rampgap
--- a/Source/policy/group_board.cpp
+++ b/Source/policy/group_board.cpp
@@ -6,45 +6,46 @@
 
 namespace {
 
-    // Agents tell of a change within some ten milliseconds, and confirm what holds each
-    // 100 ms; a suspicion that nobody confirms or denies for longer comes from lost news.
-    constexpr milliseconds suspicionLife { 600 };
-    // Groups are formed anew under other names; one that nobody has confirmed for longer
-    // than any partition that is planned for does not keep its service open.
+    // Agents publish a change within a few tens of milliseconds, and confirm the state each
+    // 100 ms; a suspicion that nothing confirms or refutes for longer comes from lost updates.
+    constexpr milliseconds suspicionTimeout { 600 };
+    // Groups are formed again under other names. A group that was not confirmed for longer than
+    // any network partition that is planned for no longer keeps its service open.
     constexpr milliseconds forgottenAfter { 10'000 };
-    // Servers of one group that must fail in a row. A lost packet fails a try too: at 3 in 100
-    // packets two in a row are one in a thousand.
+    // Servers of one group that must fail in a row. A lost packet fails an attempt too: with 3 in
+    // 100 packets lost, two failures in a row are one in a thousand.
     constexpr std::size_t failuresOfGroup = 2;
-    // After the last failure, until one request tries the group again.
-    constexpr milliseconds reachPause { 1'000 };
-    // Leaders tell of their groups each 100 to 200 ms, other ranks and entry VMs pass it on each
-    // 250 to 400 ms: of 14,000 requests at 42 entry VMs none found news older than 500 ms.
-    constexpr milliseconds unheardAfter { 600 };
-    constexpr milliseconds heardLately { 400 };
+    // How long a group is avoided after its last failure, until one request tries it again.
+    constexpr milliseconds avoidTime { 1'000 };
+    // Leaders publish the state of their groups each 100 to 200 ms, and other ranks and entry VMs
+    // pass it on each 250 to 400 ms: of 14,000 requests at 42 entry VMs none found an update older
+    // than 500 ms.
+    constexpr milliseconds unconfirmedAfter { 600 };
+    constexpr milliseconds recentlyConfirmed { 400 };
 
 } // namespace
 
-group_board::group_board(milliseconds life)
-    : m_life(life)
+group_board::group_board(milliseconds lifetime)
+    : m_lifetime(lifetime)
 {
 }
 
-bool group_board::note(const group_news& news, milliseconds age, instant now)
+bool group_board::mergeUpdate(const group_update& update, milliseconds age, instant now)
 {
     const instant at = now - age;
-    const auto held = m_groups.find(news.key);
-    if (held == m_groups.end()) {
-        m_groups[news.key] = { news.phase, at, at };
+    const auto found = m_groups.find(update.key);
+    if (found == m_groups.end()) {
+        m_groups[update.key] = { update.phase, at, at };
         return true;
     }
-    const auto known = held->second.phase.rank();
-    if (news.phase.rank() < known)
+    const auto knownRank = found->second.phase.rank();
+    if (update.phase.rank() < knownRank)
         return false;
-    const bool changed = news.phase.rank() > known;
-    held->second.confirmedAt = changed ? at : std::max(held->second.confirmedAt, at);
+    const bool changed = update.phase.rank() > knownRank;
+    found->second.confirmedAt = changed ? at : std::max(found->second.confirmedAt, at);
     if (changed)
-        held->second.changedAt = at;
-    held->second.phase = news.phase;
+        found->second.changedAt = at;
+    found->second.phase = update.phase;
     return changed;
 }
 
@@ -60,16 +61,16 @@
 
 group_strain group_board::strainAt(const std::string& service, std::uint32_t backendHash, instant now) const
 {
-    const auto told = m_strains.find(keyOf(service, backendHash));
-    return told != m_strains.end() && now - told->second.second < m_life ? told->second.first : group_strain {};
+    const auto found = m_strains.find(groupKeyOf(service, backendHash));
+    return found != m_strains.end() && now - found->second.second < m_lifetime ? found->second.first : group_strain {};
 }
 
-bool group_board::knownClosed(const entry& held, instant now) const
+bool group_board::knownClosed(const entry& state, instant now) const
 {
-    return !held.phase.open && now - held.confirmedAt < m_life;
+    return !state.phase.open && now - state.confirmedAt < m_lifetime;
 }
 
-group_key group_board::keyOf(const std::string& service, std::uint32_t backendHash) const
+group_key group_board::groupKeyOf(const std::string& service, std::uint32_t backendHash) const
 {
     const auto member = m_members.find(backendHash);
     if (member != m_members.end() && member->second.service == service)
@@ -77,15 +78,15 @@
     const auto first = m_groups.lower_bound({ service, {} });
     if (first == m_groups.end() || first->first.service != service)
         return { service, {} };
-    // With one group the server can be in no other; with several it may be in any.
+    // With a single group the server can be in no other; with several it may be in any of them.
     const auto second = std::next(first);
     const bool only = second == m_groups.end() || second->first.service != service;
     return only ? first->first : group_key { service, {} };
 }
 
-void group_board::noteRefusal(const std::string& service, std::uint32_t backendHash, instant now)
+void group_board::recordRefusal(const std::string& service, std::uint32_t backendHash, instant now)
 {
-    const group_key key = keyOf(service, backendHash);
+    const group_key key = groupKeyOf(service, backendHash);
     const bool severalGroups = key.group.empty() && m_groups.lower_bound(key) != m_groups.end() && m_groups.lower_bound(key)->first.service == service;
     if (severalGroups)
         return;
@@ -97,76 +98,76 @@
 
 const group_board::suspicion* group_board::suspected(const group_key& key, instant now) const
 {
-    const auto held = m_suspicions.find(key);
-    if (held == m_suspicions.end() || now - held->second.confirmedAt >= suspicionLife)
+    const auto found = m_suspicions.find(key);
+    if (found == m_suspicions.end() || now - found->second.confirmedAt >= suspicionTimeout)
         return nullptr;
-    // A suspicion from before any group was heard of ends with the first that is open.
-    const auto shownOpenAfter = [&](const group_key& of) {
+    // A suspicion from before any group of the service was known ends with the first open one.
+    const auto confirmedOpenAfter = [&](const group_key& of) {
         const auto group = m_groups.find(of);
-        return group != m_groups.end() && group->second.phase.open && group->second.confirmedAt > held->second.confirmedAt;
+        return group != m_groups.end() && group->second.phase.open && group->second.confirmedAt > found->second.confirmedAt;
     };
     if (!key.group.empty())
-        return shownOpenAfter(key) ? nullptr : &held->second;
-    const auto keys = keysOf(key.service, now);
-    return std::any_of(keys.begin(), keys.end(), shownOpenAfter) ? nullptr : &held->second;
+        return confirmedOpenAfter(key) ? nullptr : &found->second;
+    const auto keys = groupsOf(key.service, now);
+    return std::any_of(keys.begin(), keys.end(), confirmedOpenAfter) ? nullptr : &found->second;
 }
 
-void group_board::noteReach(const std::string& service, std::uint32_t backendHash, bool reached, instant now)
+void group_board::recordReachability(const std::string& service, std::uint32_t backendHash, bool reached, instant now)
 {
-    const group_key key = keyOf(service, backendHash);
+    const group_key key = groupKeyOf(service, backendHash);
     if (key.group.empty())
         return;
     if (reached) {
-        m_reach.erase(key);
+        m_failures.erase(key);
         return;
     }
-    reach& seen = m_reach[key];
-    seen.unreached.insert(backendHash);
-    seen.lastFailure = now;
+    recent_failures& failures = m_failures[key];
+    failures.servers.insert(backendHash);
+    failures.last = now;
 }
 
-bool group_board::failsLately(const group_key& key, instant now) const
+bool group_board::failedRecently(const group_key& key, instant now) const
 {
-    const auto seen = m_reach.find(key);
-    return seen != m_reach.end() && seen->second.unreached.size() >= failuresOfGroup && now - seen->second.lastFailure < reachPause;
+    const auto found = m_failures.find(key);
+    return found != m_failures.end() && found->second.servers.size() >= failuresOfGroup && now - found->second.last < avoidTime;
 }
 
-bool group_board::unheard(const group_key& key, instant now) const
+bool group_board::unconfirmed(const group_key& key, instant now) const
 {
-    const auto held = m_groups.find(key);
-    if (held == m_groups.end() || now - held->second.confirmedAt < unheardAfter)
+    const auto found = m_groups.find(key);
+    if (found == m_groups.end() || now - found->second.confirmedAt < unconfirmedAfter)
         return false;
-    const auto keys = keysOf(key.service, now);
-    return std::any_of(keys.begin(), keys.end(), [&](const group_key& other) { return now - m_groups.at(other).confirmedAt < heardLately; });
+    const auto keys = groupsOf(key.service, now);
+    return std::any_of(keys.begin(), keys.end(), [&](const group_key& other) { return now - m_groups.at(other).confirmedAt < recentlyConfirmed; });
 }
 
 // Load pattern: a zone with a whole group in it is cut off, and its servers stay listed for
-// seconds. Learnt one by one, 24 servers cost each of 42 entry VMs a connection's time limit
-// each, 0.25 s of a target of 0.5 s.
+// seconds. Found out server by server, each of the 24 servers would cost each of 42 entry VMs one
+// connection timeout, 0.25 s of a target of 0.5 s.
 bool group_board::outOfReach(const std::string& service, std::uint32_t backendHash, instant now) const
 {
-    const group_key key = keyOf(service, backendHash);
-    return !key.group.empty() && (failsLately(key, now) || unheard(key, now));
+    const group_key key = groupKeyOf(service, backendHash);
+    return !key.group.empty() && (failedRecently(key, now) || unconfirmed(key, now));
 }
 
-bool group_board::openElsewhere(const std::string& service, std::uint32_t backendHash, instant now) const
+bool group_board::hasOtherOpenGroup(const std::string& service, std::uint32_t backendHash, instant now) const
 {
-    const group_key own = keyOf(service, backendHash);
-    const auto keys = keysOf(service, now);
+    const group_key own = groupKeyOf(service, backendHash);
+    const auto keys = groupsOf(service, now);
     return std::any_of(keys.begin(), keys.end(), [&](const group_key& key) {
-        return key != own && !closed(key, now) && !failsLately(key, now) && !unheard(key, now);
+        return key != own && !closed(key, now) && !failedRecently(key, now) && !unconfirmed(key, now);
     });
 }
 
 std::optional<milliseconds> group_board::newsAge(const std::string& service, std::uint32_t backendHash, instant now) const
 {
-    const auto held = m_groups.find(keyOf(service, backendHash));
-    if (held == m_groups.end())
+    const auto found = m_groups.find(groupKeyOf(service, backendHash));
+    if (found == m_groups.end())
         return std::nullopt;
-    return std::chrono::duration_cast<milliseconds>(now - held->second.confirmedAt);
+    return std::chrono::duration_cast<milliseconds>(now - found->second.confirmedAt);
 }
 
-std::vector<group_key> group_board::keysOf(const std::string& service, instant now) const
+std::vector<group_key> group_board::groupsOf(const std::string& service, instant now) const
 {
     std::vector<group_key> keys;
     for (auto group = m_groups.lower_bound({ service, {} }); group != m_groups.end() && group->first.service == service; ++group) {
@@ -178,20 +179,20 @@
 
 bool group_board::closed(const group_key& key, instant now) const
 {
-    const auto held = m_groups.find(key);
-    return (held != m_groups.end() && knownClosed(held->second, now)) || suspected(key, now);
+    const auto found = m_groups.find(key);
+    return (found != m_groups.end() && knownClosed(found->second, now)) || suspected(key, now);
 }
 
 bool group_board::closedAt(const std::string& service, std::uint32_t backendHash, instant now) const
 {
-    return closed(keyOf(service, backendHash), now);
+    return closed(groupKeyOf(service, backendHash), now);
 }
 
 bool group_board::closed(const std::string& service, instant now) const
 {
     if (suspected({ service, {} }, now))
         return true;
-    const auto keys = keysOf(service, now);
+    const auto keys = groupsOf(service, now);
     return !keys.empty() && std::all_of(keys.begin(), keys.end(), [&](const group_key& key) { return closed(key, now); });
 }
 
@@ -205,10 +206,10 @@
     };
     if (const auto* suspicion = suspected({ service, {} }, now))
         consider(suspicion->since);
-    for (const auto& key : keysOf(service, now)) {
-        const entry& held = m_groups.at(key);
-        if (!held.phase.open)
-            consider(held.changedAt);
+    for (const auto& key : groupsOf(service, now)) {
+        const entry& state = m_groups.at(key);
+        if (!state.phase.open)
+            consider(state.changedAt);
         else if (const auto* suspicion = suspected(key, now))
             consider(suspicion->since);
     }
@@ -218,20 +219,20 @@
 milliseconds group_board::openFor(const std::string& service, instant now) const
 {
     milliseconds longest { 0 };
-    for (const auto& key : keysOf(service, now)) {
-        const entry& held = m_groups.at(key);
-        if (held.phase.open)
-            longest = std::max(longest, std::chrono::duration_cast<milliseconds>(now - held.changedAt));
+    for (const auto& key : groupsOf(service, now)) {
+        const entry& state = m_groups.at(key);
+        if (state.phase.open)
+            longest = std::max(longest, std::chrono::duration_cast<milliseconds>(now - state.changedAt));
     }
     return longest;
 }
 
-std::vector<std::pair<group_news, milliseconds>> group_board::news(instant now) const
+std::vector<std::pair<group_update, milliseconds>> group_board::updates(instant now) const
 {
     std::vector<std::pair<group_news, milliseconds>> all;
-    for (const auto& [key, held] : m_groups) {
-        if (now - held.confirmedAt < forgottenAfter)
-            all.emplace_back(group_news { key, held.phase }, std::chrono::duration_cast<milliseconds>(now - held.confirmedAt));
+    for (const auto& [key, state] : m_groups) {
+        if (now - state.confirmedAt < forgottenAfter)
+            all.emplace_back(group_update { key, state.phase }, std::chrono::duration_cast<milliseconds>(now - state.confirmedAt));
     }
     return all;
 }
--- a/Source/policy/group_board.h
+++ b/Source/policy/group_board.h
@@ -1,5 +1,5 @@
-// Which expert groups can run requests now, and which servers belong to each, as the ranks'
-// agents tell.
+// Which expert groups can run requests now, and which servers belong to each, as published by the
+// agents of the ranks.
 #pragma once
 
 #include "policy/pass_model.h"
@@ -16,7 +16,7 @@
 
 namespace rampgap {
 
-// A service has any number of groups.
+// Identifies an expert group; a service may have any number of them.
 struct group_key {
     std::string service;
     std::string group;
@@ -24,8 +24,9 @@
     auto operator<=>(const group_key&) const = default;
 };
 
-// A group opens, breaks when it loses a rank, and opens again in the next epoch. So its
-// states have one order, and of two reports the later state is true, whenever it came.
+// A group opens, closes when it loses a rank, and opens again in the next epoch. So its states
+// are totally ordered, and of two reports the one with the later state holds, whatever order
+// they arrive in.
 struct group_phase {
     std::uint64_t epoch = 0;
     bool open = false;
@@ -34,60 +35,61 @@
     bool operator==(const group_phase&) const = default;
 };
 
-struct group_news {
+struct group_update {
     group_key key;
     group_phase phase;
 
-    bool operator==(const group_news&) const = default;
+    bool operator==(const group_update&) const = default;
 };
 
-// Agents confirm a group's state to one entry VM each 400 ms, and these tell the others.
+// Agents confirm a group's state to one entry VM each 400 ms, and that one passes it on to the others.
 inline constexpr milliseconds groupNewsLife { 1'500 };
 
 class group_board {
 public:
-    // What was not confirmed for `life` is taken for unknown.
-    explicit group_board(milliseconds life);
+    // The state of a group that was not confirmed for `lifetime` counts as unknown.
+    explicit group_board(milliseconds lifetime);
 
-    // True if the state changed. News from a peer is as old as it says.
-    bool note(const group_news&, milliseconds age, instant now);
-    // A server, by the hash of its id, is a rank of the group.
+    // True if the state changed. `age`: how long ago the state was confirmed.
+    bool mergeUpdate(const group_update&, milliseconds age, instant now);
+    // Records that a server, given by the hash of its id, is a rank of the group.
     void noteMember(std::uint32_t backendHash, const group_key&);
 
-    // What lengthens the group's steps, as its leader told.
+    // What lengthens the group's steps, as published by its leader.
     void noteStrain(const group_key&, const group_strain&, instant now);
-    // Of the server's group; none where no leader has told lately.
+    // Of the server's group; no slowdown if its leader has not published one recently.
     group_strain strainAt(const std::string& service, std::uint32_t backendHash, instant now) const;
 
-    // An engine with room refused a request unrun: its group has closed, unless a later
-    // report shows it open. An engine whose group is not known says nothing of other groups.
-    void noteRefusal(const std::string& service, std::uint32_t backendHash, instant now);
+    // Records that an engine with free request slots refused a request without running it: its
+    // group is suspected to be closed until a later update shows it open. Where the engine's group
+    // is not known, no other group becomes suspected.
+    void recordRefusal(const std::string& service, std::uint32_t backendHash, instant now);
 
-    // A try could not hand over its request to the server, or it did.
-    void noteReach(const std::string& service, std::uint32_t backendHash, bool reached, instant now);
+    // Records whether an attempt could hand over its request to the server.
+    void recordReachability(const std::string& service, std::uint32_t backendHash, bool reached, instant now);
     // True if the server's group is most likely cut off from this process, though other groups
-    // of its service are not: nothing is to be sent there while there is anything else.
+    // of its service are not: requests should go to other groups while there are any.
     bool outOfReach(const std::string& service, std::uint32_t backendHash, instant now) const;
-    // True if another group of the service is open and, as far as is known, within reach.
-    bool openElsewhere(const std::string& service, std::uint32_t backendHash, instant now) const;
+    // True if another group of the service is open and, as far as is known, reachable.
+    bool hasOtherOpenGroup(const std::string& service, std::uint32_t backendHash, instant now) const;
     // The group that the server is known to be a rank of; empty if it is not known.
-    std::string groupOf(const std::string& service, std::uint32_t backendHash) const { return keyOf(service, backendHash).group; }
-    // Since a rank of the server's group last confirmed its state, as far as heard here; empty
-    // if none ever did.
+    std::string groupOf(const std::string& service, std::uint32_t backendHash) const { return groupKeyOf(service, backendHash).group; }
+    // Time since a rank of the server's group last confirmed the group's state, as far as this
+    // process knows; empty if none ever did.
     std::optional<milliseconds> newsAge(const std::string& service, std::uint32_t backendHash, instant now) const;
 
     // True if the server's group is known or suspected to be closed.
     bool closedAt(const std::string& service, std::uint32_t backendHash, instant now) const;
-    // True if anything has been heard of a group of the service.
-    bool heardOf(const std::string& service, instant now) const { return !keysOf(service, now).empty(); }
+    // True if any group of the service is known.
+    bool heardOf(const std::string& service, instant now) const { return !groupsOf(service, now).empty(); }
     // True if all groups of the service are known or suspected to be closed.
     bool closed(const std::string& service, instant now) const;
     // How long the service has had no open group, as far as this process knows.
     milliseconds closedFor(const std::string& service, instant now) const;
-    // How long one of them has been open; 0 if none is known to be.
+    // How long a group of the service has been open, for the one open longest; 0 if none is known to be.
     milliseconds openFor(const std::string& service, instant now) const;
-    // What is known, with its age, for peers.
-    std::vector<std::pair<group_news, milliseconds>> news(instant now) const;
+    // The known states with their ages, to be published to peers.
+    std::vector<std::pair<group_update, milliseconds>> updates(instant now) const;
 
 private:
     struct entry {
@@ -96,34 +98,35 @@
         instant changedAt;
     };
 
+    // That a group is closed.
     struct suspicion {
         instant since;
         instant confirmedAt;
     };
 
-    // Of one group, what tries showed lately.
-    struct reach {
-        // Different servers that could not be reached since one was.
-        std::set<std::uint32_t> unreached;
-        instant lastFailure;
+    // Failures to reach one group since an attempt last succeeded there.
+    struct recent_failures {
+        // Hashes of the servers that could not be reached.
+        std::set<std::uint32_t> servers;
+        instant last;
     };
 
     bool closed(const group_key&, instant now) const;
-    // Tries at several servers failed, and none succeeded since.
-    bool failsLately(const group_key&, instant now) const;
-    // None of its ranks has been heard of, while those of another group were.
-    bool unheard(const group_key&, instant now) const;
+    // True if attempts at several servers failed recently, and none succeeded since.
+    bool failedRecently(const group_key&, instant now) const;
+    // True if no rank has confirmed the group lately, while those of another group of the service did.
+    bool unconfirmed(const group_key&, instant now) const;
     bool knownClosed(const entry&, instant now) const;
-    // The group that a server without a known one is taken to be in.
-    group_key keyOf(const std::string& service, std::uint32_t backendHash) const;
-    // The suspicion that still holds, or null.
+    // The group that the server is in; without a name where that is not known.
+    group_key groupKeyOf(const std::string& service, std::uint32_t backendHash) const;
+    // The suspicion that is still in force, or null.
     const suspicion* suspected(const group_key&, instant now) const;
-    std::vector<group_key> keysOf(const std::string& service, instant now) const;
+    std::vector<group_key> groupsOf(const std::string& service, instant now) const;
 
-    milliseconds m_life;
+    milliseconds m_lifetime;
     std::map<group_key, entry> m_groups;
     std::map<group_key, suspicion> m_suspicions;
-    std::map<group_key, reach> m_reach;
+    std::map<group_key, recent_failures> m_failures;
     std::map<group_key, std::pair<group_strain, instant>> m_strains;
     std::unordered_map<std::uint32_t, group_key> m_members;
 };
--- a/Source/policy/group_monitor.cpp
+++ b/Source/policy/group_monitor.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-    // Load may grow by half within the second that a change takes to be decided and copied.
+    // The load may grow by half within the second that it takes to decide a change and copy its experts.
     constexpr double loadHeadroom = 1.5;
-    // Of the longest gap: passes are 0.15 longer while experts are copied, and vary as much.
-    constexpr double easyPartOfGap = 0.75;
+    // Share of the longest gap that a predicted pass may take: passes are 0.15 longer while experts
+    // are copied, and vary by as much.
+    constexpr double headroomPartOfGap = 0.75;
     constexpr double bitsPerByte = 8;
     constexpr double millisecondsPerSecond = 1'000;
-    // Least gain of a change, as a share of the predicted step time: one that costs nothing,
-    // and for each second of a copy. Steps take 0.15 longer while experts are copied, and
-    // demand was recorded to stay for 3 s and more; with 0.9 a second, experts that take 0.4 s
-    // to copy were copied once a shift, and the most loaded rank had 1.99 times the mean in
-    // place of 1.61 (replayed counts of four recorded days).
+    // Smallest gain that justifies a change, as a share of the predicted step time: of a change
+    // that copies nothing, and for each second of copying. Steps take 0.15 longer while experts are
+    // copied, and recorded demand stays for 3 s or more. With 0.9 for each second, experts that take
+    // 0.4 s to copy were copied once a shift, and the most loaded rank had 1.99 times the mean
+    // instead of 1.61 (replayed counts of four recorded days).
     constexpr double freeChangeGain = 0.03;
     constexpr double gainPerCopySecond = 0.15;
-    // The same while passes are short enough with half as much work again: half of the copies
-    // (864 and 1,721 in 30 s of shifts replayed), passes of 70 in place of 66 ms, none later.
-    constexpr double gainAtEase = 0.16;
+    // The same for a group with headroom: in 30 s of replayed shifts this halves the copies (864
+    // instead of 1,721), with passes of 70 instead of 66 ms and no more late ones.
+    constexpr double minGainIfHeadroom = 0.16;
 
 } // namespace
 
@@ -42,7 +43,7 @@
     settings.limits.newPerRank = std::max<std::size_t>(1, static_cast<std::size_t>(longestCopyMs / expertCopyMs(costs)));
     const double changeCopyMs = expertCopyMs(costs) * static_cast<double>(settings.limits.newPerRank);
     settings.leastGain = freeChangeGain + gainPerCopySecond * changeCopyMs / millisecondsPerSecond;
-    settings.leastGainAtEase = std::max(settings.leastGain, gainAtEase);
+    settings.leastGainAtEase = std::max(settings.leastGain, minGainIfHeadroom);
     settings.costs = costs;
     return settings;
 }
@@ -69,23 +70,23 @@
     m_ranks.clear();
     m_highestPlacement = 0;
     m_knownPlacement.reset();
-    m_straySince.reset();
+    m_strayHoldSince.reset();
 }
 
-void group_monitor::observe(const rank_observation& seen, instant now)
+void group_monitor::observe(const rank_observation& observation, instant now)
 {
     if (m_group.empty())
-        follow(seen.view.group);
-    if (seen.view.group != m_group || seen.view.epoch < m_epoch)
+        follow(observation.view.group);
+    if (observation.view.group != m_group || observation.view.epoch < m_epoch)
         return;
-    if (seen.view.epoch > m_epoch)
-        reset(seen.view.epoch);
-    if (isOutdated(seen.view, now))
+    if (observation.view.epoch > m_epoch)
+        reset(observation.view.epoch);
+    if (isOutdated(observation.view, now))
         return;
-    m_size = seen.view.groupSize;
-    m_highestPlacement = std::max({ m_highestPlacement, seen.view.placementInUse, seen.view.preparedPlacement, seen.view.armedPlacement });
-    m_ranks[seen.view.rank] = { seen, now };
-    noteChoices(seen.choices, now);
+    m_size = observation.view.groupSize;
+    m_highestPlacement = std::max({ m_highestPlacement, observation.view.placementInUse, observation.view.preparedPlacement, observation.view.armedPlacement });
+    m_ranks[observation.view.rank] = { observation, now };
+    noteChoices(observation.choices, now);
 }
 
 void group_monitor::noteChoices(const std::vector<std::uint64_t>& choices, instant now)
@@ -93,7 +94,7 @@
     m_demand.add(choices, now);
 }
 
-void group_monitor::learn(std::uint64_t placement, group_placement contents)
+void group_monitor::setPlacement(std::uint64_t placement, group_placement contents)
 {
     m_knownPlacement = placement;
     m_current = std::make_shared<const group_placement>(std::move(contents));
@@ -102,23 +103,23 @@
 void group_monitor::noteChanged(std::uint64_t placement, group_placement contents)
 {
     m_highestPlacement = std::max(m_highestPlacement, placement);
-    learn(placement, std::move(contents));
-    noteEnded();
+    setPlacement(placement, std::move(contents));
+    recordChangeEnd();
 }
 
-void group_monitor::noteEnded()
+void group_monitor::recordChangeEnd()
 {
-    m_straySince.reset();
+    m_strayHoldSince.reset();
 }
 
-// A view from afar is some hundred ms old: where a fresh one has just shown another incarnation
-// of the engine, it is of the one before.
-bool group_monitor::isOutdated(const rank_view& seen, instant now) const
+// A view that was read from another machine is some hundred ms old. Where a view read on the
+// engine's own machine has just shown another incarnation, the old one is from the incarnation before.
+bool group_monitor::isOutdated(const rank_view& view, instant now) const
 {
-    const auto held = m_ranks.find(seen.rank);
-    if (seen.fresh || held == m_ranks.end() || !held->second.last.view.fresh)
+    const auto known = m_ranks.find(view.rank);
+    if (view.fresh || known == m_ranks.end() || !known->second.last.view.fresh)
         return false;
-    return seen.incarnation != held->second.last.view.incarnation && now - held->second.at < m_settings.observationLife;
+    return view.incarnation != known->second.last.view.incarnation && now - known->second.at < m_settings.observationLife;
 }
 
 bool group_monitor::complete(instant now) const
@@ -133,31 +134,31 @@
 leader_task group_monitor::decide(instant now)
 {
     if (!holds().empty()) {
-        if (!m_straySince)
-            m_straySince = now;
-        return now - *m_straySince >= m_settings.strayLife ? leader_task::clean_up : leader_task::none;
+        if (!m_strayHoldSince)
+            m_strayHoldSince = now;
+        return now - *m_strayHoldSince >= m_settings.strayLife ? leader_task::clean_up : leader_task::none;
     }
-    m_straySince.reset();
-    // Armed without a hold: a change that was released and whose step is yet to begin. To
-    // disarm now could leave the ranks with two placements.
+    m_strayHoldSince.reset();
+    // Armed without a hold: a change that was released and whose step has not begun yet. Disarming
+    // now could leave the ranks with two placements.
     if (armedPlacement() != 0)
         return leader_task::none;
     if (now < m_pauseUntil || !complete(now) || !m_demand.known())
         return leader_task::none;
     const std::uint64_t inUse = placementInUse();
-    const bool same = std::all_of(m_ranks.begin(), m_ranks.end(), [inUse](const auto& rank) { return rank.second.last.view.placementInUse == inUse; });
-    // Reports of the ranks are a moment apart: around a change they may differ.
-    if (!same)
+    const bool uniform = std::all_of(m_ranks.begin(), m_ranks.end(), [inUse](const auto& rank) { return rank.second.last.view.placementInUse == inUse; });
+    // The ranks report at slightly different times, so their reports may differ around a change.
+    if (!uniform)
         return leader_task::none;
     if (m_knownPlacement != inUse)
         return leader_task::learn_placement;
     const expert_shares estimate = m_demand.shares();
     const rank_paces pace = paces();
     m_currentSkew = groupSkew(*m_current, estimate, pace);
-    // A plan costs processor time: none is made where it could not gain enough, and not
-    // again before there is something new to plan from.
+    // Planning costs processor time: it is skipped where even the best plan would not gain enough,
+    // and until there are new counts to plan from.
     const double best = m_settings.limits.targetSkew;
-    const double leastGain = atEase() ? m_settings.leastGainAtEase : m_settings.leastGain;
+    const double leastGain = hasHeadroom() ? m_settings.leastGainAtEase : m_settings.leastGain;
     if (m_currentSkew - best < leastGain * m_currentSkew)
         return leader_task::none;
     m_pauseUntil = now + m_settings.planPause;
@@ -166,28 +167,28 @@
     return m_currentSkew - m_plannedSkew > leastGain * m_currentSkew ? leader_task::change_placement : leader_task::none;
 }
 
-// Load pattern: demand shifts each three seconds at half of the load that the group can carry.
+// Load pattern: demand shifts each three seconds, at half of the load that the group can carry.
 // The first two changes after a shift bring nearly all that callers notice; three or four more
-// take the last 0.1 off the skew, and copies are dear.
-bool group_monitor::atEase() const
+// only take the last 0.1 off the skew, and copies are expensive.
+bool group_monitor::hasHeadroom() const
 {
     if (m_longestGap <= milliseconds(0) || m_settings.costs.stepMs <= 0)
         return false;
     int requests = 0;
-    for (const auto& [rank, held] : m_ranks)
-        requests += held.last.view.active + held.last.view.queued;
+    for (const auto& [rank, known] : m_ranks)
+        requests += known.last.view.active + known.last.view.queued;
     const double mean = static_cast<double>(requests) / static_cast<double>(m_ranks.size());
     const double sequences = std::min<double>(m_settings.costs.capacity, 1 + loadHeadroom * mean);
     const double pass = passTime(m_settings.costs, sequences, { m_currentSkew, slowestPace() });
-    return pass <= easyPartOfGap * static_cast<double>(m_longestGap.count());
+    return pass <= headroomPartOfGap * static_cast<double>(m_longestGap.count());
 }
 
 rank_paces group_monitor::paces() const
 {
     rank_paces all(m_size, 1.0);
-    for (const auto& [rank, held] : m_ranks) {
+    for (const auto& [rank, known] : m_ranks) {
         if (rank < m_size)
-            all[rank] = std::max(1.0, held.last.view.pace);
+            all[rank] = std::max(1.0, known.last.view.pace);
     }
     return all;
 }
@@ -220,36 +221,36 @@
 std::vector<std::string> group_monitor::backendIds() const
 {
     std::vector<std::string> ids(m_size);
-    for (const auto& [rank, held] : m_ranks) {
+    for (const auto& [rank, known] : m_ranks) {
         if (rank < m_size)
-            ids[rank] = held.last.backendId;
+            ids[rank] = known.last.backendId;
     }
     return ids;
 }
 
 std::optional<rank_view> group_monitor::view(std::uint32_t rank) const
 {
-    const auto held = m_ranks.find(rank);
-    if (held == m_ranks.end())
+    const auto known = m_ranks.find(rank);
+    if (known == m_ranks.end())
         return std::nullopt;
-    return held->second.last.view;
+    return known->second.last.view;
 }
 
 std::vector<std::pair<std::size_t, std::uint64_t>> group_monitor::holds() const
 {
     std::vector<std::pair<std::size_t, std::uint64_t>> found;
-    for (const auto& [rank, held] : m_ranks) {
-        if (held.last.view.heldStep != 0)
-            found.emplace_back(rank, held.last.view.heldStep);
+    for (const auto& [rank, known] : m_ranks) {
+        if (known.last.view.heldStep != 0)
+            found.emplace_back(rank, known.last.view.heldStep);
     }
     return found;
 }
 
 std::uint64_t group_monitor::armedPlacement() const
 {
-    for (const auto& [rank, held] : m_ranks) {
-        if (held.last.view.armedPlacement != 0)
-            return held.last.view.armedPlacement;
+    for (const auto& [rank, known] : m_ranks) {
+        if (known.last.view.armedPlacement != 0)
+            return known.last.view.armedPlacement;
     }
     return 0;
 }
@@ -257,8 +258,8 @@
 std::uint64_t group_monitor::placementInUse() const
 {
     std::uint64_t newest = 0;
-    for (const auto& [rank, held] : m_ranks)
-        newest = std::max(newest, held.last.view.placementInUse);
+    for (const auto& [rank, known] : m_ranks)
+        newest = std::max(newest, known.last.view.placementInUse);
     return newest;
 }
 
--- a/Source/policy/group_monitor.h
+++ b/Source/policy/group_monitor.h
@@ -1,4 +1,4 @@
-// What the leader of an expert group knows of its ranks, and what it decides to do.
+// Collects what the leader of an expert group knows of its ranks, and decides its next task.
 #pragma once
 
 #include "policy/demand_estimate.h"
@@ -15,15 +15,15 @@
 struct rank_observation {
     std::string backendId;
     rank_view view;
-    // Choices of experts since the last observation of the same rank; empty if not known.
+    // Counts of chosen experts since the last observation of the same rank; empty if not known.
     std::vector<std::uint64_t> choices;
 };
 
 enum class leader_task {
     none,
-    // A step is held by nobody who is at work.
+    // Release a held step that belongs to no change in progress.
     clean_up,
-    // The contents of the placement in use are not known: ask the ranks.
+    // The contents of the placement in use are not known: query the ranks.
     learn_placement,
     change_placement,
 };
@@ -31,79 +31,82 @@
 struct monitor_settings {
     planner_limits limits;
     demand_settings demand;
-    // A rank that was not observed for so long is not known.
+    // The state of a rank counts as unknown once it was not observed for so long.
     milliseconds observationLife { 800 };
-    // A change must take at least this share off the predicted step time of the experts.
+    // A change must shorten the predicted step time of the experts by at least this share.
     double leastGain = 0.12;
-    // The same while passes would be short enough for callers with a good deal more work.
+    // The same while the group has headroom: it would meet its callers' target with half as much
+    // load again.
     double leastGainAtEase = 0.12;
-    // Published figures of the engines; without a number of steps a pass they say nothing.
+    // Published figures of the engines; not used where the steps of a pass are not given.
     engine_costs costs;
-    // Between two plans; counts come each 100 ms.
+    // Time between two plans; new counts arrive each 100 ms.
     milliseconds planPause { 100 };
-    // A hold that nobody at work explains for so long is cleared away.
+    // A hold that belongs to no change in progress is released after so long.
     milliseconds strayLife { 250 };
 
     bool operator==(const monitor_settings&) const = default;
 };
 
-// How long the copies of one change may take, one expert a rank at the least: small changes
-// relieve the most loaded rank soonest, and the next change brings the rest.
+// Milliseconds that the copies of one change may take; at least one expert for each rank is
+// allowed. Small changes relieve the most loaded rank soonest, and the next change brings the rest.
 inline constexpr double longestCopyMs = 200;
 
 // Milliseconds that one expert takes to copy, by the published figures.
 double expertCopyMs(const engine_costs&);
-// How a leader decides for engines with these figures.
+// Settings of a leader for engines with these figures.
 monitor_settings monitorSettingsFor(const engine_costs&);
 
 class group_monitor {
 public:
     explicit group_monitor(monitor_settings);
 
-    // Longest pause between two events that callers of the service accept; 0: not known.
+    // Longest gap between two events of a stream that callers of the service accept; 0: not known.
     void setLongestGap(milliseconds gap) { m_longestGap = gap; }
-    // The group to lead, by default the first that is observed. Another one than before starts
-    // over: nothing that was learnt of one group's ranks may reach another's.
+    // The group to lead, by default the first that is observed. A change of the group discards all
+    // state: nothing known of one group's ranks may be used for another's.
     void follow(const std::string& group);
     const std::string& group() const { return m_group; }
     // Ranks of other groups, and of earlier epochs, are ignored.
     void observe(const rank_observation&, instant now);
-    // Choices of experts by any ranks of the group, since they were last asked.
+    // Counts of experts chosen by any ranks of the group, since they were last queried.
     void noteChoices(const std::vector<std::uint64_t>&, instant now);
-    // All ranks told their experts of the placement in use.
-    void learn(std::uint64_t placement, group_placement contents);
-    // The change to `contents` was begun, and how it ended.
+    // Sets the contents of the placement in use, once they are known from all ranks.
+    void setPlacement(std::uint64_t placement, group_placement contents);
+    // Records that a change to `contents` was completed.
     void noteChanged(std::uint64_t placement, group_placement contents);
-    void noteEnded();
+    // Records that a change ended, whether it was completed or not.
+    void recordChangeEnd();
 
     leader_task decide(instant now);
-    // The contents that `change_placement` asks for.
+    // The placement to change to after `change_placement` was decided.
     const group_placement& planned() const { return m_planned; }
     // The placement in use, without contents if they are not known.
     numbered_placement current() const;
-    // Of the placement in use with the demand of now; 1 while either is unknown.
+    // Skew of the placement in use with the present demand; 1 while either is unknown.
     double skewNow() const;
     double currentSkew() const { return m_currentSkew; }
     double slowestPace() const;
     double plannedSkew() const { return m_plannedSkew; }
 
-    // Known and current: every rank of an open group, all in one epoch.
+    // True if the current state of every rank is known, and all are in the same epoch of an open group.
     bool complete(instant now) const;
     std::uint64_t epoch() const { return m_epoch; }
     std::uint32_t groupSize() const { return m_size; }
-    // A number for a placement that no leader of this epoch has used: above all that were
-    // seen, from the leader's rank, and from its time of day, since it may have been restarted.
+    // A placement number that no leader of this epoch has used: above all known ones, made from
+    // the leader's rank, and from its wall-clock time since the leader may have been restarted.
     std::uint64_t nextPlacement(std::uint32_t leaderRank, std::uint64_t wallMs) const;
     // The server of each rank, by rank; empty where it is not known.
     std::vector<std::string> backendIds() const;
     std::optional<rank_view> view(std::uint32_t rank) const;
-    // Rank and step of the holds that were seen, and a placement that some rank is armed with.
+    // Rank and step of each hold.
     std::vector<std::pair<std::size_t, std::uint64_t>> holds() const;
+    // A placement that some rank is armed with; 0 if there is none.
     std::uint64_t armedPlacement() const;
     std::uint64_t placementInUse() const;
 
 private:
-    struct held_rank {
+    struct known_rank {
         rank_observation last;
         instant at;
     };
@@ -111,13 +114,13 @@
     void reset(std::uint64_t epoch);
     bool isOutdated(const rank_view&, instant now) const;
     rank_paces paces() const;
-    // With the skew of now: passes leave room for more work than there is.
-    bool atEase() const;
+    // True if passes would stay short enough with half as much load again, at the present skew.
+    bool hasHeadroom() const;
 
     monitor_settings m_settings;
     milliseconds m_longestGap { 0 };
     std::string m_group;
-    std::map<std::uint32_t, held_rank> m_ranks;
+    std::map<std::uint32_t, known_rank> m_ranks;
     std::uint64_t m_epoch = 0;
     std::uint32_t m_size = 0;
     demand_estimate m_demand;
@@ -128,7 +131,7 @@
     double m_currentSkew = 1;
     double m_plannedSkew = 1;
     instant m_pauseUntil {};
-    std::optional<instant> m_straySince;
+    std::optional<instant> m_strayHoldSince;
 };
 
 } // namespace rampgap
--- a/Source/policy/group_roster.cpp
+++ b/Source/policy/group_roster.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-    // A question and its answer are two datagrams; one that was lost is asked again.
-    constexpr milliseconds questionPause { 500 };
-    // A rank that moves tells everybody; this is for those whom that did not reach.
-    constexpr milliseconds toldLife { 10'000 };
+    // A query and its reply are two datagrams; after this time one of them counts as lost, and the
+    // query is repeated.
+    constexpr milliseconds queryInterval { 500 };
+    // A rank that moves to another group announces it to all; this repeats the query for agents
+    // that did not receive the announcement.
+    constexpr milliseconds groupLifetime { 10'000 };
 
-    const std::string nobodyTold;
+    const std::string unknownGroup;
 
     bool contains(const std::vector<std::string>& ids, const std::string& id)
     {
@@ -20,16 +22,16 @@
 
 } // namespace
 
-void group_roster::note(const std::string& backendId, const std::string& group, instant now)
+void group_roster::recordGroup(const std::string& backendId, const std::string& group, instant now)
 {
     if (!group.empty())
-        m_told[backendId] = { group, now };
+        m_known[backendId] = { group, now };
 }
 
 const std::string& group_roster::groupOf(const std::string& backendId) const
 {
-    const auto told = m_told.find(backendId);
-    return told == m_told.end() ? nobodyTold : told->second.group;
+    const auto known = m_known.find(backendId);
+    return known == m_known.end() ? unknownGroup : known->second.group;
 }
 
 std::vector<std::string> group_roster::members(const std::vector<std::string>& pool, const std::string& group, std::size_t size) const
@@ -37,8 +39,8 @@
     const bool oneGroup = pool.size() <= size;
     std::vector<std::string> found;
     for (const auto& id : pool) {
-        const std::string& told = groupOf(id);
-        if (told == group || (told.empty() && oneGroup))
+        const std::string& ownGroup = groupOf(id);
+        if (ownGroup == group || (ownGroup.empty() && oneGroup))
             found.push_back(id);
     }
     return found;
@@ -51,20 +53,20 @@
     return found;
 }
 
-std::vector<std::string> group_roster::takeQuestions(const std::vector<std::string>& pool, const std::string& ownId, instant now)
+std::vector<std::string> group_roster::selectDueQueries(const std::vector<std::string>& pool, const std::string& ownId, instant now)
 {
-    const auto gone = [&pool](const auto& entry) { return !contains(pool, entry.first); };
-    std::erase_if(m_told, gone);
-    std::erase_if(m_askedAt, gone);
+    const auto unlisted = [&pool](const auto& entry) { return !contains(pool, entry.first); };
+    std::erase_if(m_known, unlisted);
+    std::erase_if(m_queriedAt, unlisted);
     std::vector<std::string> due;
     for (const auto& id : pool) {
-        const auto told = m_told.find(id);
-        const bool fresh = told != m_told.end() && now - told->second.toldAt < toldLife;
-        const auto asked = m_askedAt.find(id);
-        const bool askedLately = asked != m_askedAt.end() && now - asked->second < questionPause;
-        if (id == ownId || fresh || askedLately)
+        const auto known = m_known.find(id);
+        const bool fresh = known != m_known.end() && now - known->second.recordedAt < groupLifetime;
+        const auto queried = m_queriedAt.find(id);
+        const bool queriedRecently = queried != m_queriedAt.end() && now - queried->second < queryInterval;
+        if (id == ownId || fresh || queriedRecently)
             continue;
-        m_askedAt[id] = now;
+        m_queriedAt[id] = now;
         due.push_back(id);
     }
     return due;
--- a/Source/policy/group_roster.h
+++ b/Source/policy/group_roster.h
@@ -1,4 +1,4 @@
-// Which expert group each model engine belongs to, as its agent or the engine itself told.
+// Records which expert group each model engine belongs to, as reported by its agent or by the engine.
 #pragma once
 
 #include "policy/verdict.h"
@@ -10,30 +10,30 @@
 
 namespace rampgap {
 
-// The agents of a service find their group's members by asking each other: the list of
+// The agents of a service find the members of their group by querying each other: the list of
 // servers does not name groups, and a service may have any number of them.
 class group_roster {
 public:
-    void note(const std::string& backendId, const std::string& group, instant now);
-    // The group that a server was last known in; empty if nobody has told.
+    void recordGroup(const std::string& backendId, const std::string& group, instant now);
+    // The last known group of a server; empty if it is not known.
     const std::string& groupOf(const std::string& backendId) const;
 
-    // The servers of `pool` that are in `group`, in its order. Where the whole pool fits in
-    // one group of `size` ranks, servers that nobody has told of count too.
+    // The servers of `pool` that are in `group`, in the order of the pool. Where the whole pool fits
+    // in one group of `size` ranks, servers of an unknown group are included.
     std::vector<std::string> members(const std::vector<std::string>& pool, const std::string& group, std::size_t size) const;
-    // The servers of `pool` that nobody has told of.
+    // The servers of `pool` whose group is not known.
     std::vector<std::string> unknown(const std::vector<std::string>& pool) const;
-    // Those to ask now; they count as asked. Servers that are not in `pool` are forgotten.
-    std::vector<std::string> takeQuestions(const std::vector<std::string>& pool, const std::string& ownId, instant now);
+    // The servers to query now, which are marked as queried. Servers that are not in `pool` are forgotten.
+    std::vector<std::string> selectDueQueries(const std::vector<std::string>& pool, const std::string& ownId, instant now);
 
 private:
     struct entry {
         std::string group;
-        instant toldAt;
+        instant recordedAt;
     };
 
-    std::map<std::string, entry> m_told;
-    std::map<std::string, instant> m_askedAt;
+    std::map<std::string, entry> m_known;
+    std::map<std::string, instant> m_queriedAt;
 };
 
 } // namespace rampgap
--- a/Source/policy/leadership.cpp
+++ b/Source/policy/leadership.cpp
@@ -15,31 +15,31 @@
 
 void leadership::noteCalled(const std::string& caller, instant at)
 {
-    if (m_everCalled && m_quietSince && at < *m_quietSince)
+    if (m_everCalled && m_waitingSince && at < *m_waitingSince)
         return;
     m_leader = caller;
     m_everCalled = true;
-    m_quietSince = at;
+    m_waitingSince = at;
 }
 
-bool leadership::inDoubt(instant now) const
+bool leadership::leaderOverdue(instant now) const
 {
-    return !m_leading && m_quietSince && now - *m_quietSince >= m_settings.patience / 2;
+    return !m_leading && m_waitingSince && now - *m_waitingSince >= m_settings.leaderTimeout / 2;
 }
 
 std::optional<instant> leadership::lastCall(instant now) const
 {
     if (m_leading)
         return now;
-    return m_everCalled ? m_quietSince : std::nullopt;
+    return m_everCalled ? m_waitingSince : std::nullopt;
 }
 
-milliseconds leadership::patienceOf(std::size_t position) const
+milliseconds leadership::takeoverTimeout(std::size_t position) const
 {
-    const auto staggers = static_cast<std::int64_t>(std::min(position, m_settings.mostStaggers));
+    const auto staggers = static_cast<std::int64_t>(std::min(position, m_settings.maxStaggers));
     if (!m_everCalled)
-        return m_settings.firstPatience + staggers * m_settings.stagger;
-    return m_settings.patience + staggers * m_settings.stagger;
+        return m_settings.startupTimeout + staggers * m_settings.stagger;
+    return m_settings.leaderTimeout + staggers * m_settings.stagger;
 }
 
 bool leadership::leads(const std::string& own, const std::vector<std::string>& members, instant now)
@@ -47,19 +47,19 @@
     const std::size_t position = positionOf(own, members);
     if (position == members.size()) {
         m_leading = false;
-        m_quietSince.reset();
+        m_waitingSince.reset();
         return false;
     }
-    if (!m_quietSince)
-        m_quietSince = now;
-    const bool calledByOther = !m_leader.empty() && m_leader != own;
-    if (m_leading && calledByOther && positionOf(m_leader, members) < position)
+    if (!m_waitingSince)
+        m_waitingSince = now;
+    const bool otherLeads = !m_leader.empty() && m_leader != own;
+    if (m_leading && otherLeads && positionOf(m_leader, members) < position)
         m_leading = false;
-    else if (!m_leading && now - *m_quietSince >= patienceOf(position))
+    else if (!m_leading && now - *m_waitingSince >= takeoverTimeout(position))
         m_leading = true;
     if (m_leading) {
         m_leader = own;
-        m_quietSince = now;
+        m_waitingSince = now;
     }
     return m_leading;
 }
--- a/Source/policy/map_coordinator.cpp
+++ b/Source/policy/map_coordinator.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    // Each phase has an answer of its own, so that a late one of another phase says nothing.
+    // Each phase has its own kind of answer, so that a late one of another phase is not counted.
     std::optional<map_message_kind> expectedAnswer(coordinator_phase phase)
     {
         switch (phase) {
@@ -93,8 +93,9 @@
     return enter(coordinator_phase::preparing);
 }
 
-// Another coordinator was there. A new one claims above it; one that was at work steps
-// down, so that an old view does not fight a new one.
+// A rank follows a coordinator with a higher fence. A coordinator that is still claiming claims again
+// with a number above it. One that has claimed all ranks steps down, so that a coordinator with an
+// outdated view does not compete with a newer one.
 std::vector<rank_message> map_coordinator::outrank(const map_fence& higher)
 {
     m_fence.number = std::max(m_fence.number, higher.number);
@@ -103,13 +104,13 @@
     return enter(coordinator_phase::outranked);
 }
 
-std::vector<rank_message> map_coordinator::take(std::size_t rank, const map_message& answer)
+std::vector<rank_message> map_coordinator::handleAnswer(std::size_t rank, const map_message& answer)
 {
     if (m_phase == coordinator_phase::outranked)
         return {};
     if (answer.kind == map_message_kind::refused && answer.fence > m_fence)
         return outrank(answer.fence);
-    // Answers to another claim, and those that come after their phase, say nothing.
+    // Answers to another claim, and those that arrive after their phase, are ignored.
     if (answer.fence != m_fence && answer.kind != map_message_kind::refused)
         return {};
     if (m_phase == coordinator_phase::claiming) {
@@ -121,7 +122,7 @@
     }
     if (answer.map != m_map)
         return {};
-    // A refusal under the own fence: too late to prepare, or another incarnation.
+    // A refusal under this coordinator's fence: too late to prepare, or another incarnation.
     if (answer.kind == map_message_kind::refused) {
         const bool restarted = !m_states[rank] || answer.incarnation != m_states[rank]->incarnation || answer.fence != m_fence;
         if (restarted && m_phase != coordinator_phase::idle)
@@ -149,11 +150,11 @@
     });
 }
 
-// An agent forgets its fence when it restarts, so one round of claims may meet ranks that
-// were never fenced together. A rank that confirms held the fence all the time since its
-// state: after the second round there was a moment at which all ranks were fenced, in just
-// the states that they showed. A map that one rank has committed was prepared by all, so
-// all commit it; a map that none committed is dropped.
+// An agent forgets its fence when it restarts, so the ranks claimed in one round may never have had
+// the fence at the same time. A rank that confirms has kept the fence since it reported its state.
+// So after the second round there was a moment at which all ranks had the fence and were in the
+// reported states. A map that one rank has committed was prepared by all, so all commit it; a map
+// that none has committed is aborted.
 std::vector<rank_message> map_coordinator::resolve()
 {
     bool staged = false;
@@ -171,7 +172,7 @@
 
 step_number map_coordinator::highestStep() const
 {
-    step_number highest = m_noted;
+    step_number highest = m_recordedStep;
     for (const auto& state : m_states) {
         if (state)
             highest = std::max(highest, state->state.step);
--- a/Source/policy/map_coordinator.h
+++ b/Source/policy/map_coordinator.h
@@ -1,4 +1,4 @@
-// Coordinates map switches of one group: all ranks prepare, then all commit.
+// Coordinates the map switches of one group in two phases: all ranks prepare, then all commit.
 #pragma once
 
 #include "policy/map_message.h"
@@ -10,7 +10,8 @@
 
 namespace rampgap {
 
-// In lock-step a group without one rank does nothing, so "all ranks" costs no availability.
+// Phases of a coordinator. Requiring all ranks costs no availability: a group in lock-step makes no
+// progress without one of its ranks anyway.
 enum class coordinator_phase { outranked,
     claiming,
     confirming,
@@ -28,24 +29,26 @@
 
 class map_coordinator {
 public:
-    // `owner` names the coordinator and its start: no two may use the same.
+    // `owner` identifies the coordinator and its incarnation: no two may use the same.
     map_coordinator(std::string owner, std::size_t ranks);
 
-    // Claims the group from all ranks; also after a timeout, and to come back once outranked.
+    // Claims the group from all ranks; also after a timeout, and to claim again after being outranked.
     std::vector<rank_message> claim();
-    // Proposes the next map, in force from `step`; ignored unless idle. The map gets the
+    // Starts the switch to the next map, in force from `step`; ignored unless idle. The map gets the
     // next free id.
     std::vector<rank_message> propose(step_number step);
-    std::vector<rank_message> take(std::size_t rank, const map_message& answer);
-    // What is still unanswered, to be sent again after a timeout.
+    // Handles the answer of a rank; returns the messages to send next.
+    std::vector<rank_message> handleAnswer(std::size_t rank, const map_message& answer);
+    // The messages that are still unanswered, to be sent again after a timeout.
     std::vector<rank_message> pending() const;
 
     coordinator_phase phase() const { return m_phase; }
-    // The map that the present or last switch is about.
+    // The map of the present or last switch.
     map_id map() const { return m_map; }
     // The highest step that a rank reported.
     step_number highestStep() const;
-    void noteStep(step_number step) { m_noted = step; }
+    // Records a step that was read from an engine.
+    void noteStep(step_number step) { m_recordedStep = step; }
     std::uint64_t commits() const { return m_commits; }
 
 private:
@@ -62,7 +65,7 @@
     std::set<std::size_t> m_answers;
     map_id m_map = 0;
     step_number m_step = 0;
-    step_number m_noted = 0;
+    step_number m_recordedStep = 0;
     std::uint64_t m_commits = 0;
 };
 
--- a/Source/policy/map_message.h
+++ b/Source/policy/map_message.h
@@ -11,7 +11,7 @@
 using map_id = std::uint64_t;
 using step_number = std::uint64_t;
 
-// A fencing number; the owner makes those of two coordinators differ.
+// A fencing token: the number orders the coordinators, and the owner keeps those of two different.
 struct map_fence {
     std::uint64_t number = 0;
     std::string owner;
@@ -19,19 +19,19 @@
     auto operator<=>(const map_fence&) const = default;
 };
 
-// What a rank's engine reports: the map in use and one that is staged.
+// State that a rank's engine reports: its step, the committed map and the staged one.
 struct rank_state {
     step_number step = 0;
     map_id committedMap = 0;
     step_number committedStep = 0;
-    // 0 if none is staged; from `stagedStep` on the engine waits for the decision.
+    // 0 if none is staged. The engine does not start `stagedStep` before the map is committed or aborted.
     map_id stagedMap = 0;
     step_number stagedStep = 0;
 
     bool operator==(const rank_state&) const = default;
 };
 
-// Orders, and the one answer that tells that an order was carried out.
+// Orders of a coordinator, each followed by the answer that confirms it; `refused` answers any order.
 enum class map_message_kind { claim,
     state,
     confirm,
@@ -47,7 +47,7 @@
 struct map_message {
     map_message_kind kind = map_message_kind::claim;
     map_fence fence;
-    // Of the rank's agent: the addressee's in orders, the sender's in answers.
+    // Incarnation of the rank's agent: of the receiver in orders, of the sender in answers.
     std::uint64_t incarnation = 0;
     map_id map = 0;
     step_number step = 0;
--- a/Source/policy/map_participant.cpp
+++ b/Source/policy/map_participant.cpp
@@ -15,7 +15,7 @@
     return { order, { kind, m_fence, m_incarnation, to.map, to.step, m_state } };
 }
 
-participant_answer map_participant::take(const map_message& message, const rank_state& current)
+participant_answer map_participant::handle(const map_message& message, const rank_state& current)
 {
     m_state = current;
     if (message.fence < m_fence)
@@ -25,7 +25,7 @@
         m_decided = 0;
         return answer(map_message_kind::state, message);
     }
-    // An order for an earlier incarnation may be older than what this one has forgotten.
+    // An order for an earlier incarnation may be older than decisions that this one has forgotten.
     if (message.incarnation != m_incarnation || message.fence != m_fence)
         return answer(map_message_kind::refused, message);
     switch (message.kind) {
@@ -47,7 +47,7 @@
     if (m_state.stagedMap == message.map && m_state.stagedStep == message.step)
         return answer(map_message_kind::prepared, message);
     const bool tooLate = message.step < m_state.step + leastStepsAhead;
-    // An engine holds one map to come: the last switch must lie behind it.
+    // An engine keeps only one future map: the last switch must have taken effect.
     const bool switchAhead = m_state.committedStep > m_state.step;
     if (tooLate || switchAhead || m_state.stagedMap != 0 || message.map <= m_state.committedMap || message.map <= m_decided)
         return answer(map_message_kind::refused, message);
@@ -64,9 +64,9 @@
     return answer(map_message_kind::committed, message, { engine_order_kind::commit, message.map, m_state.stagedStep });
 }
 
-// Earlier maps go as well: after an incomplete change of coordinators, ranks may have
-// different maps staged, none of them committed anywhere. A later one stays: then this
-// order is late.
+// Earlier maps are aborted as well: after an incomplete change of coordinators, ranks may have
+// different maps staged, none of them committed anywhere. A later map is kept: then this order
+// is outdated.
 participant_answer map_participant::abort(const map_message& message)
 {
     if (m_state.committedMap == message.map)
--- a/Source/policy/map_participant.h
+++ b/Source/policy/map_participant.h
@@ -1,14 +1,14 @@
-// One rank's part in a map switch: checks each order before the engine gets it.
+// The participant of a map switch at one rank: checks each order before it goes to the engine.
 #pragma once
 
 #include "policy/map_message.h"
 
 namespace rampgap {
 
-// Steps between a rank's present one and the earliest switch that it accepts.
+// Fewest steps between a rank's present step and a switch that it accepts.
 inline constexpr step_number leastStepsAhead = 2;
 
-// The order to carry out first, then the answer to send once the engine confirmed it.
+// An order for the engine, and the answer to send once the engine has confirmed the order.
 struct participant_answer {
     engine_order order;
     map_message answer;
@@ -18,11 +18,11 @@
 
 class map_participant {
 public:
-    // Starts with what the engine reports: an agent's memory does not outlive it.
+    // Starts with the state that the engine reports, since an agent keeps no state over a restart.
     map_participant(std::uint64_t incarnation, rank_state reported);
 
     // `current` is the engine's latest report.
-    participant_answer take(const map_message&, const rank_state& current);
+    participant_answer handle(const map_message&, const rank_state& current);
 
     const map_fence& fence() const { return m_fence; }
 
@@ -34,12 +34,12 @@
 
     std::uint64_t m_incarnation;
     map_fence m_fence;
-    // The last map that was committed or aborted here: its late orders change nothing.
+    // The last map that was committed or aborted here: late orders for it change nothing.
     map_id m_decided = 0;
     rank_state m_state;
 };
 
-// True if the engine may start `step` by its own state: it is not staged up to there.
+// True if no staged map keeps the engine from starting `step`.
 bool mayStart(const rank_state&, step_number step);
 
 } // namespace rampgap
