--- a/Tests/groups/placement-property/test.cpp
+++ b/Tests/groups/placement-property/test.cpp
@@ -1,4 +1,5 @@
-// Placements: complete, never worse by prediction, bounded in moves.
+// Guards against placements that lose an expert, that are worse than before by prediction, or that take
+// more moves than allowed, for any popularity and policy.
 
 #include "policy/popularity_estimate.h"
 #include "policy/rebalancer.h"
@@ -46,7 +47,7 @@
     }));
 }
 
-TEST_CASE("a slow rank gets less")
+TEST_CASE("a slow rank gets less load")
 {
     constexpr std::size_t ranks = 8;
     const std::vector<double> popularity(32, 100.0);
@@ -61,7 +62,7 @@
     CHECK(stepSkew(after) < stepSkew(before));
 }
 
-TEST_CASE("the weight of cost buys fewer moves")
+TEST_CASE("a higher weight of cost leads to fewer moves")
 {
     std::mt19937 random(5);
     std::lognormal_distribution<double> draw(0, 1);
--- a/Tests/groups/straggler/test.cpp
+++ b/Tests/groups/straggler/test.cpp
@@ -1,4 +1,5 @@
-// Faults: a rank slow for long, and ranks that stall for a moment.
+// Guards against a persistently slow rank that is not found, and against ranks with a short stall that
+// count as stragglers.
 
 #include "policy/straggler_detector.h"
 
@@ -7,7 +8,7 @@
 
 using namespace rampgap;
 
-TEST_CASE("a rank slow for long is found against its peers, whatever their speed")
+TEST_CASE("a persistently slow rank is found, whatever the common speed of the others")
 {
     CHECK(rc::check("straggler", [] {
         const auto ranks = *rc::gen::inRange<std::size_t>(4, 33);
@@ -26,7 +27,7 @@
     }));
 }
 
-TEST_CASE("short stalls cause no verdict and no change of speeds")
+TEST_CASE("short stalls do not change the speeds")
 {
     straggler_detector detector(8, 3);
     for (std::size_t interval = 0; interval < 40; ++interval) {
--- a/Tests/groups/switch-exhaustive/test.cpp
+++ b/Tests/groups/switch-exhaustive/test.cpp
@@ -1,4 +1,5 @@
-// Every order of messages and every single crash point, for small groups.
+// Explores every order of messages and every single crash point in small groups: guards against ranks
+// that use different maps in one step, and against groups that cannot step again after healing.
 
 #include "../switch-property/group_model.h"
 
@@ -50,7 +51,7 @@
             stuck += settled && healed.steps() == before + 5 ? 0 : 1;
             return;
         }
-        for (std::size_t i = 0; i < group.flying().size(); ++i) {
+        for (std::size_t i = 0; i < group.inFlight().size(); ++i) {
             group_model next = group;
             next.deliver(i, false);
             visit(next, crashes, depth - 1);
@@ -65,10 +66,10 @@
             next.restartAgent(rank);
             visit(next, crashes - 1, depth - 1);
         }
-        // The other coordinator takes over while the first one's messages still fly.
-        group_model taken = group;
-        taken.restartCoordinator(1);
-        visit(taken, crashes - 1, depth - 1);
+        // The other coordinator takes over while messages of the first one are still in flight.
+        group_model takenOver = group;
+        takenOver.restartCoordinator(1);
+        visit(takenOver, crashes - 1, depth - 1);
     }
 
     std::size_t m_ranks;
@@ -76,7 +77,7 @@
 
 } // namespace
 
-TEST_CASE("two ranks, every order, one crash or takeover at every point")
+TEST_CASE("two ranks: one map in each step for every message order and one crash or takeover at any point")
 {
     const explorer all(2, 1, 10);
     MESSAGE("states: " << all.states << ", with a whole switch: " << all.committed);
@@ -84,7 +85,7 @@
     CHECK(all.stuck == 0);
 }
 
-TEST_CASE("three ranks, every order, one crash or takeover at every point")
+TEST_CASE("three ranks: one map in each step for every message order and one crash or takeover at any point")
 {
     const explorer all(3, 1, 7);
     MESSAGE("states: " << all.states << ", with a whole switch: " << all.committed);
--- a/Tests/groups/switch-property/group_model.cpp
+++ b/Tests/groups/switch-property/group_model.cpp
@@ -60,26 +60,26 @@
 void group_model::send(std::size_t coordinator, const std::vector<rank_message>& messages)
 {
     for (const auto& outgoing : messages)
-        m_flying.push_back({ false, coordinator, outgoing.rank, outgoing.message });
+        m_inFlight.push_back({ false, coordinator, outgoing.rank, outgoing.message });
 }
 
 void group_model::deliver(std::size_t index, bool keepCopy)
 {
-    const flying_message flown = m_flying[index];
+    const message_in_flight delivered = m_inFlight[index];
     if (!keepCopy)
         lose(index);
-    if (flown.toCoordinator) {
-        send(flown.coordinator, m_coordinators[flown.coordinator].take(flown.rank, flown.message));
+    if (delivered.toCoordinator) {
+        send(delivered.coordinator, m_coordinators[delivered.coordinator].handleAnswer(delivered.rank, delivered.message));
         return;
     }
-    const auto answered = m_agents[flown.rank].take(flown.message, m_engines[flown.rank].report());
-    m_engines[flown.rank].carryOut(answered.order);
-    m_flying.push_back({ true, flown.coordinator, flown.rank, answered.answer });
+    const auto answered = m_agents[delivered.rank].handle(delivered.message, m_engines[delivered.rank].report());
+    m_engines[delivered.rank].carryOut(answered.order);
+    m_inFlight.push_back({ true, delivered.coordinator, delivered.rank, answered.answer });
 }
 
 void group_model::lose(std::size_t index)
 {
-    m_flying.erase(m_flying.begin() + static_cast<std::ptrdiff_t>(index));
+    m_inFlight.erase(m_inFlight.begin() + static_cast<std::ptrdiff_t>(index));
 }
 
 void group_model::restartAgent(std::size_t rank)
@@ -105,10 +105,10 @@
 
 bool group_model::settle(std::size_t coordinator)
 {
-    constexpr int mostMessages = 5'000;
-    m_flying.clear();
+    constexpr int maxMessages = 5'000;
+    m_inFlight.clear();
     send(coordinator, m_coordinators[coordinator].claim());
-    for (int i = 0; i < mostMessages && !m_flying.empty(); ++i)
+    for (int i = 0; i < maxMessages && !m_inFlight.empty(); ++i)
         deliver(0, false);
     return m_coordinators[coordinator].phase() == coordinator_phase::idle;
 }
--- a/Tests/groups/switch-property/test.cpp
+++ b/Tests/groups/switch-property/test.cpp
@@ -1,5 +1,6 @@
-// One map in every step, under loss, delay, reordering, duplication, restarts of any
-// agent and two coordinators at once.
+// Guards against ranks that use different maps in one step, and against groups that cannot step any
+// more: messages are lost, delayed, reordered and duplicated, any agent may restart, and two
+// coordinators may be active at once.
 
 #include "group_model.h"
 
@@ -12,13 +13,13 @@
 
 namespace {
 
-// One event; `draw(bound)` gives a number below the bound.
+// Applies one random event; `draw(bound)` gives a number below the bound.
 template <class Draw>
 void anyEvent(group_model& group, std::size_t ranks, Draw draw)
 {
-    // Mostly one coordinator is at work; now and then an old one wakes or a new one starts.
+    // Mostly one coordinator is active; sometimes an old one resumes or a new one starts.
     const std::size_t coordinator = draw(8) == 0 ? 1 : 0;
-    const std::size_t flying = group.flying().size();
+    const std::size_t inFlight = group.inFlight().size();
     const std::size_t event = draw(100);
     if (event < 2)
         group.restartAgent(draw(ranks));
@@ -30,12 +31,12 @@
         group.resend(coordinator);
     else if (event < 30)
         group.stepTogether();
-    else if (flying == 0)
+    else if (inFlight == 0)
         return;
     else if (event < 32)
-        group.lose(draw(flying));
+        group.lose(draw(inFlight));
     else
-        group.deliver(event < 75 ? 0 : draw(flying), event % 20 == 0);
+        group.deliver(event < 75 ? 0 : draw(inFlight), event % 20 == 0);
 }
 
 void randomEvent(group_model& group, std::size_t ranks)
@@ -74,7 +75,7 @@
     CHECK(commits > 20);
 }
 
-TEST_CASE("20,000 schedules of fixed seeds, healed at many points")
+TEST_CASE("20,000 schedules of fixed seeds use one map in each step and recover from many points")
 {
     constexpr std::uint32_t schedules = 20'000;
     std::uint64_t broken = 0;
@@ -103,7 +104,7 @@
     CHECK(switches > 1'000);
 }
 
-TEST_CASE("a rank refuses an old fence and what was meant for an earlier incarnation")
+TEST_CASE("a rank refuses an old fence and orders for an earlier incarnation")
 {
     const rank_state idle { 10, 0, 0, 0, 0 };
     map_participant rank(5, idle);
@@ -114,7 +115,7 @@
         message.incarnation = incarnation;
         message.map = 1;
         message.step = 20;
-        return rank.take(message, idle).answer.kind;
+        return rank.handle(message, idle).answer.kind;
     };
     CHECK((send(map_message_kind::claim, 7, 0) == map_message_kind::state));
     CHECK((send(map_message_kind::claim, 6, 0) == map_message_kind::refused));
@@ -124,7 +125,7 @@
     CHECK((send(map_message_kind::prepare, 7, 5) == map_message_kind::prepared));
 }
 
-TEST_CASE("a rank refuses a switch that is too near, and a late order for a map that was decided")
+TEST_CASE("a rank refuses a switch at a step that is too near, and a late order for a map that is decided")
 {
     const rank_state idle { 10, 0, 0, 0, 0 };
     map_participant rank(5, idle);
@@ -135,7 +136,7 @@
         message.incarnation = 5;
         message.map = 1;
         message.step = step;
-        return rank.take(message, state).answer.kind;
+        return rank.handle(message, state).answer.kind;
     };
     CHECK((send(map_message_kind::claim, 0, idle) == map_message_kind::state));
     CHECK((send(map_message_kind::prepare, 11, idle) == map_message_kind::refused));
@@ -144,7 +145,7 @@
     CHECK((send(map_message_kind::prepare, 12, idle) == map_message_kind::refused));
 }
 
-TEST_CASE("a coordinator counts no answer for another map")
+TEST_CASE("a coordinator ignores answers for another map")
 {
     map_coordinator coordinator("c", 2);
     coordinator.claim();
@@ -154,7 +155,7 @@
         message.fence = { 1, "c" };
         message.incarnation = 5;
         message.map = map;
-        coordinator.take(rank, message);
+        coordinator.handleAnswer(rank, message);
     };
     for (const auto kind : { map_message_kind::state, map_message_kind::confirmed }) {
         answer(0, kind, 0);
@@ -164,7 +165,7 @@
     for (map_id map = 1; map <= 2; ++map) {
         coordinator.propose(100 * map);
         answer(0, map_message_kind::prepared, map);
-        // A late answer of the first switch comes again in the second.
+        // A late answer of the first switch arrives again during the second.
         answer(1, map_message_kind::prepared, 1);
         if (map == 2)
             break;
@@ -174,14 +175,14 @@
     CHECK((coordinator.phase() == coordinator_phase::preparing));
 }
 
-TEST_CASE("the good case delays no step")
+TEST_CASE("without faults no step is delayed")
 {
     group_model group(4, 1);
     REQUIRE(group.settle(0));
     for (int i = 0; i < 50; ++i) {
         group.propose(0, 4);
-        // A message a step and rank: prepare, answer, commit are there before step 4.
-        while (!group.flying().empty())
+        // Prepare, answer and commit all arrive before step 4.
+        while (!group.inFlight().empty())
             group.deliver(0, false);
         for (int step = 0; step < 6; ++step)
             CHECK(group.stepTogether());
--- a/Tests/platform/group-state/test.cpp
+++ b/Tests/platform/group-state/test.cpp
@@ -1,4 +1,5 @@
-// News of expert groups: whatever order they come in, the later state of a group stands.
+// Guards against wrong states of expert groups: updates arrive in any order, confirmations stop, and
+// reports may be from an earlier incarnation or epoch.
 #include "policy/choice_counter.h"
 #include "policy/group_board.h"
 #include "policy/group_monitor.h"
@@ -11,11 +12,11 @@
 namespace {
 
 const instant zero {};
-constexpr milliseconds life { 1'500 };
-// Hash of an engine whose group nobody told.
+constexpr milliseconds lifetime { 1'500 };
+// Hash of an engine whose group is not known.
 constexpr std::uint32_t engine = 7;
 
-group_news news(std::uint64_t epoch, bool open)
+group_update update(std::uint64_t epoch, bool open)
 {
     return { { "model", "g" }, { epoch, open } };
 }
@@ -33,39 +34,39 @@
 
 } // namespace
 
-TEST_CASE("the order in which news come makes no difference")
+TEST_CASE("the order in which updates arrive makes no difference")
 {
     CHECK(rc::check([] {
-        std::vector<group_news> all { news(1, true), news(1, false), news(2, true), news(2, false), news(3, true) };
+        std::vector<group_update> all { update(1, true), update(1, false), update(2, true), update(2, false), update(3, true) };
         const auto order = *rc::gen::container<std::vector<std::size_t>>(12, rc::gen::inRange<std::size_t>(0, all.size()));
-        group_board board(life);
+        group_board board(lifetime);
         std::size_t latest = 0;
         for (const auto index : order) {
-            board.note(all[index], milliseconds(0), zero);
+            board.mergeUpdate(all[index], milliseconds(0), zero);
             latest = std::max(latest, index);
         }
         RC_ASSERT(board.closed("model", zero) == !all[latest].phase.open);
     }));
 }
 
-TEST_CASE("a closed group that nobody confirms is no longer taken for closed")
+TEST_CASE("a closed group that is not confirmed no longer counts as closed")
 {
-    group_board board(life);
-    board.note(news(1, false), milliseconds(0), zero);
-    CHECK(board.closed("model", zero + life - milliseconds(1)));
-    CHECK_FALSE(board.closed("model", zero + life));
+    group_board board(lifetime);
+    board.mergeUpdate(update(1, false), milliseconds(0), zero);
+    CHECK(board.closed("model", zero + lifetime - milliseconds(1)));
+    CHECK_FALSE(board.closed("model", zero + lifetime));
     CHECK_FALSE(board.closed("other", zero));
 }
 
 TEST_CASE("a service with one open group is open")
 {
-    group_board board(life);
-    board.note(news(1, false), milliseconds(0), zero);
-    board.note({ { "model", "h" }, { 1, true } }, milliseconds(0), zero);
+    group_board board(lifetime);
+    board.mergeUpdate(update(1, false), milliseconds(0), zero);
+    board.mergeUpdate({ { "model", "h" }, { 1, true } }, milliseconds(0), zero);
     CHECK_FALSE(board.closed("model", zero));
 }
 
-TEST_CASE("ranks that are armed without a hold are left alone, a stray hold is cleared away")
+TEST_CASE("ranks that are armed without a hold are left as they are, a stray hold is cleaned up")
 {
     monitor_settings settings;
     settings.demand.layerSets = 1;
@@ -85,7 +86,7 @@
     CHECK((monitor.decide(zero + milliseconds(700) + settings.strayLife) == leader_task::clean_up));
 }
 
-TEST_CASE("a hold at a rank that was never seen before is cleared away")
+TEST_CASE("a hold at a rank that was never observed before is cleaned up")
 {
     group_monitor monitor(monitor_settings {});
     monitor.observe({ "a", viewOf(0), {} }, zero);
@@ -110,7 +111,7 @@
         monitor.observe({ std::to_string(rank), view, { 5, 5 } }, zero);
     }
     CHECK((monitor.decide(zero) == leader_task::learn_placement));
-    monitor.learn(300, initialPlacement(1, 2, 2));
+    monitor.setPlacement(300, initialPlacement(1, 2, 2));
     CHECK((monitor.decide(zero) == leader_task::none));
     for (std::uint32_t rank = 0; rank < 2; ++rank)
         monitor.observe({ std::to_string(rank), viewOf(rank, 2), { 5, 5 } }, zero);
@@ -118,45 +119,45 @@
     CHECK(monitor.placementInUse() == 0);
 }
 
-TEST_CASE("a refusal by an engine with room closes its group until a later report shows it open")
+TEST_CASE("a refusal by an engine with free slots closes its group until a later update shows it open")
 {
     group_board board(milliseconds(1'500));
     const instant start {};
     CHECK(!board.closed("drafts", start));
-    board.noteRefusal("drafts", engine, start);
+    board.recordRefusal("drafts", engine, start);
     CHECK(board.closed("drafts", start));
     CHECK(board.closedFor("drafts", start + milliseconds(100)) == milliseconds(100));
     CHECK(!board.closed("letters", start));
-    // A report from before the refusal proves nothing; a later one does.
-    board.note({ { "drafts", "g" }, { 1, true } }, milliseconds(50), start + milliseconds(20));
+    // An update from before the refusal does not end the suspicion; a later one does.
+    board.mergeUpdate({ { "drafts", "g" }, { 1, true } }, milliseconds(50), start + milliseconds(20));
     CHECK(board.closed("drafts", start + milliseconds(20)));
-    board.note({ { "drafts", "g" }, { 1, true } }, milliseconds(5), start + milliseconds(100));
+    board.mergeUpdate({ { "drafts", "g" }, { 1, true } }, milliseconds(5), start + milliseconds(100));
     CHECK(!board.closed("drafts", start + milliseconds(100)));
 }
 
-TEST_CASE("a suspicion that nobody confirms ends by itself")
+TEST_CASE("a suspicion that is not confirmed expires")
 {
     group_board board(milliseconds(1'500));
     const instant start {};
-    board.noteRefusal("drafts", engine, start);
-    board.noteRefusal("drafts", engine, start + milliseconds(400));
+    board.recordRefusal("drafts", engine, start);
+    board.recordRefusal("drafts", engine, start + milliseconds(400));
     CHECK(board.closed("drafts", start + milliseconds(900)));
     CHECK(board.closedFor("drafts", start + milliseconds(900)) == milliseconds(900));
     CHECK(!board.closed("drafts", start + milliseconds(1'000)));
 }
 
-TEST_CASE("counts that go on give the difference, counts that fell were begun anew")
+TEST_CASE("continued counts give the difference, counts that decreased have started again")
 {
     choice_counter counter;
-    CHECK(counter.take({ 5, 7 }, 1).empty());
-    CHECK(counter.take({ 6, 9 }, 1) == std::vector<std::uint64_t> { 1, 2 });
-    CHECK(counter.take({ 3, 10 }, 1) == std::vector<std::uint64_t> { 3, 10 });
-    CHECK(counter.take({ 3, 10, 4 }, 1).empty());
-    // Another life of the engine has passed all counts of the one before.
-    CHECK(counter.take({ 30, 20, 40 }, 2) == std::vector<std::uint64_t> { 30, 20, 40 });
+    CHECK(counter.countSinceLast({ 5, 7 }, 1).empty());
+    CHECK(counter.countSinceLast({ 6, 9 }, 1) == std::vector<std::uint64_t> { 1, 2 });
+    CHECK(counter.countSinceLast({ 3, 10 }, 1) == std::vector<std::uint64_t> { 3, 10 });
+    CHECK(counter.countSinceLast({ 3, 10, 4 }, 1).empty());
+    // Another incarnation whose counts are already higher than the last ones of the one before.
+    CHECK(counter.countSinceLast({ 30, 20, 40 }, 2) == std::vector<std::uint64_t> { 30, 20, 40 });
 }
 
-TEST_CASE("what was popular before a group closed is planned for as soon as it opens")
+TEST_CASE("a group that opens again is planned with the popularity from before it closed")
 {
     monitor_settings settings;
     settings.demand.layerSets = 1;
@@ -168,18 +169,18 @@
         monitor.observe({ "a", viewOf(0, epoch), choices }, now);
         monitor.observe({ "b", viewOf(1, epoch), choices }, now);
     };
-    // Placement 0 deals experts 0 and 2 to the first rank: expert 0 is most of the work.
+    // Placement 0 assigns experts 0 and 2 to the first rank: expert 0 is most of the work.
     observeAll(1, { 9'000, 100, 100, 100 }, zero);
     REQUIRE((monitor.decide(zero) == leader_task::learn_placement));
-    // Closed for six seconds, with counts that stand still, then open in a new epoch.
+    // Closed for six seconds with unchanged counts, then open in a new epoch.
     const instant later = zero + milliseconds(6'000);
     observeAll(2, { 0, 0, 0, 0 }, later);
     REQUIRE((monitor.decide(later) == leader_task::learn_placement));
-    monitor.learn(0, initialPlacement(1, 4, 2));
+    monitor.setPlacement(0, initialPlacement(1, 4, 2));
     CHECK((monitor.decide(later) == leader_task::change_placement));
 }
 
-TEST_CASE("the first few choices after a closure do not wipe out what was popular before it")
+TEST_CASE("the first few choices after a closure do not replace the popularity from before it")
 {
     monitor_settings settings;
     settings.demand.layerSets = 1;
@@ -192,21 +193,21 @@
         monitor.observe({ "x", viewOf(rank, 1), { 9'000, 100, 100, 100 } }, zero);
     for (const std::uint32_t rank : { 0U, 1U })
         monitor.observe({ "x", viewOf(rank, 2), { 1, 1, 1, 1 } }, later);
-    monitor.learn(0, initialPlacement(1, 4, 2));
+    monitor.setPlacement(0, initialPlacement(1, 4, 2));
     CHECK((monitor.decide(later) == leader_task::change_placement));
 }
 
 TEST_CASE("a refusal in one of several groups does not close the others")
 {
     group_board board(milliseconds(1'500));
-    board.note({ { "model", "whole" }, { 1, true } }, milliseconds(0), zero);
+    board.mergeUpdate({ { "model", "whole" }, { 1, true } }, milliseconds(0), zero);
     // 301 engines in groups of 63: the last group lacks ranks and never opens.
-    board.note({ { "model", "short" }, { 0, false } }, milliseconds(0), zero);
-    board.noteRefusal("model", engine, zero + milliseconds(10));
+    board.mergeUpdate({ { "model", "short" }, { 0, false } }, milliseconds(0), zero);
+    board.recordRefusal("model", engine, zero + milliseconds(10));
     CHECK_FALSE(board.closed("model", zero + milliseconds(10)));
 }
 
-TEST_CASE("a late view of an engine's earlier life does not take the place of the present one")
+TEST_CASE("a late view of an engine's earlier incarnation does not replace the present one")
 {
     group_monitor monitor(monitor_settings {});
     rank_view present = viewOf(0);
@@ -220,7 +221,8 @@
     earlier.fresh = false;
     monitor.observe({ "a", earlier, {} }, zero + milliseconds(100));
     CHECK(monitor.view(0) == present);
-    // From its own machine, or after the present view has aged, another life is a newer one.
+    // In a view from the engine's own machine, or once the present view has expired, another incarnation
+    // is the newer one.
     monitor.observe({ "a", earlier, {} }, zero + milliseconds(900));
     CHECK(monitor.view(0) == earlier);
     present.incarnation = 3;
@@ -228,11 +230,11 @@
     CHECK(monitor.view(0) == present);
 }
 
-TEST_CASE("a group is heard of from its first news until it is forgotten")
+TEST_CASE("a group is known from its first update until it is forgotten")
 {
-    group_board board(life);
+    group_board board(lifetime);
     CHECK_FALSE(board.heardOf("model", zero));
-    board.note(news(1, false), milliseconds(0), zero);
+    board.mergeUpdate(update(1, false), milliseconds(0), zero);
     CHECK(board.heardOf("model", zero));
     CHECK_FALSE(board.heardOf("other", zero));
     CHECK_FALSE(board.heardOf("model", zero + milliseconds(20'000)));
--- a/Tests/platform/group-state/wait.cpp
+++ b/Tests/platform/group-state/wait.cpp
@@ -1,4 +1,5 @@
-// Requests whose expert group is closed.
+// Guards against callers that lose their answer while an expert group is closed: refused too early,
+// kept beyond their patience, or told to retry when they cannot be served any more.
 #include "policy/delay_estimate.h"
 #include "policy/group_wait.h"
 
@@ -9,27 +10,26 @@
 
 namespace {
 
-// The two tries of one caller, who keeps to the pause that it is told, in a closure.
+// A caller that makes two attempts while the group is closed, and complies with the retry delay.
 struct caller {
     milliseconds deadline { 8'000 };
     milliseconds patience { 2'400 };
     milliseconds run { 1'200 };
 };
 
-// Whether a group that opens so long after the first try serves the caller to the end, and
-// whether it was held in vain for longer than it waits anyway.
-bool isServed(const caller& who, milliseconds opensAfter)
+// True if a group that opens so long after the first attempt can complete the caller's answer.
+bool isServed(const caller& waiting, milliseconds opensAfter)
 {
     milliseconds at { 0 };
     for (int attempt = 0; attempt < 2; ++attempt) {
-        group_wait_question question;
-        question.timeLeft = who.deadline - at;
-        question.patience = who.patience;
-        question.run = who.run;
-        question.closedFor = at;
-        const auto decision = decideGroupWait(question);
+        group_wait_question input;
+        input.timeLeft = waiting.deadline - at;
+        input.patience = waiting.patience;
+        input.run = waiting.run;
+        input.closedFor = at;
+        const auto decision = decideGroupWait(input);
         if (opensAfter <= at + decision.wait)
-            return std::max(at, opensAfter) + who.run <= who.deadline;
+            return std::max(at, opensAfter) + waiting.run <= waiting.deadline;
         at += decision.wait + decision.retryAfter;
     }
     return false;
@@ -44,7 +44,7 @@
     CHECK_FALSE(isServed({}, milliseconds(7'000)));
 }
 
-TEST_CASE("the same for callers with other patience, deadlines and answers")
+TEST_CASE("closures cost no answer for callers with other patience, deadlines and answer times")
 {
     for (milliseconds opens { 0 }; opens <= milliseconds(5'600); opens += milliseconds(50))
         CHECK(isServed({ milliseconds(8'000), milliseconds(2'000), milliseconds(900) }, opens));
@@ -52,9 +52,10 @@
         CHECK(isServed({ milliseconds(3'000), milliseconds(2'000), milliseconds(250) }, opens));
 }
 
-// Answers of 2 to 38 events, a pass of 115 ms each, in turn. By mean and two deviations they take
-// 4 s, and each caller that comes back in a closure of six seconds was refused at once.
-TEST_CASE("answers of unlike lengths leave a caller that comes back its second wait")
+// Guards against retrying callers that are refused at once in a closure of six seconds. Answers have 2
+// to 38 events with a pass of 115 ms each: the mean plus two deviations is 4 s, too long an estimate of
+// the run time.
+TEST_CASE("with answers of varying length a retrying caller still gets its second wait")
 {
     delay_estimate run(milliseconds(1'500));
     for (const int events : { 8, 14, 5, 38, 20, 2, 16, 11, 25, 6, 30, 13, 9, 17, 4 })
@@ -65,57 +66,57 @@
     CHECK_FALSE(isServed({ milliseconds(8'000), milliseconds(2'400), run.value() }, milliseconds(6'000)));
 }
 
-TEST_CASE("a caller that cannot be answered to the end any more is refused at once")
+TEST_CASE("a caller that can no longer get a complete answer is refused at once")
 {
-    group_wait_question question;
-    question.timeLeft = milliseconds(1'100);
-    question.run = milliseconds(1'200);
-    CHECK(decideGroupWait(question).wait == milliseconds(0));
-    question.timeLeft = milliseconds(1'500);
-    CHECK(decideGroupWait(question).wait == milliseconds(300));
+    group_wait_question input;
+    input.timeLeft = milliseconds(1'100);
+    input.run = milliseconds(1'200);
+    CHECK(decideGroupWait(input).wait == milliseconds(0));
+    input.timeLeft = milliseconds(1'500);
+    CHECK(decideGroupWait(input).wait == milliseconds(300));
 }
 
 TEST_CASE("time that a caller spent at a server that refused counts against its patience")
 {
-    group_wait_question question;
-    question.timeLeft = milliseconds(6'500);
-    question.waited = milliseconds(1'500);
-    CHECK(decideGroupWait(question).wait == milliseconds(380));
-    question.waited = milliseconds(1'950);
-    CHECK(decideGroupWait(question).wait == milliseconds(0));
+    group_wait_question input;
+    input.timeLeft = milliseconds(6'500);
+    input.waited = milliseconds(1'500);
+    CHECK(decideGroupWait(input).wait == milliseconds(380));
+    input.waited = milliseconds(1'950);
+    CHECK(decideGroupWait(input).wait == milliseconds(0));
 }
 
-TEST_CASE("the longest pause is a third of the time that is left")
+TEST_CASE("the longest retry delay is a third of the time that is left")
 {
-    CHECK(longestPause(milliseconds(7'500)) == milliseconds(2'500));
-    CHECK(longestPause(milliseconds(-1)) == milliseconds(0));
+    CHECK(longestRetryPause(milliseconds(7'500)) == milliseconds(2'500));
+    CHECK(longestRetryPause(milliseconds(-1)) == milliseconds(0));
 }
 
-TEST_CASE("nobody is kept beyond its patience, its time, or the pause that callers keep to")
+TEST_CASE("no caller waits beyond its patience or deadline, or gets a retry delay that it would not comply with")
 {
     CHECK(rc::check([] {
-        group_wait_question question;
-        question.timeLeft = milliseconds(*rc::gen::inRange(0, 10'000));
-        question.waited = milliseconds(*rc::gen::inRange(0, 3'000));
-        question.run = milliseconds(*rc::gen::inRange(0, 3'000));
-        const auto decision = decideGroupWait(question);
+        group_wait_question input;
+        input.timeLeft = milliseconds(*rc::gen::inRange(0, 10'000));
+        input.waited = milliseconds(*rc::gen::inRange(0, 3'000));
+        input.run = milliseconds(*rc::gen::inRange(0, 3'000));
+        const auto decision = decideGroupWait(input);
         RC_ASSERT(decision.wait >= milliseconds(0));
-        RC_ASSERT(decision.wait + question.waited < question.patience || decision.wait == milliseconds(0));
-        RC_ASSERT(decision.wait <= question.timeLeft);
-        RC_ASSERT(decision.retryAfter <= (question.timeLeft - decision.wait) / 3 + milliseconds(1));
+        RC_ASSERT(decision.wait + input.waited < input.patience || decision.wait == milliseconds(0));
+        RC_ASSERT(decision.wait <= input.timeLeft);
+        RC_ASSERT(decision.retryAfter <= (input.timeLeft - decision.wait) / 3 + milliseconds(1));
     }));
 }
 
-TEST_CASE("whoever comes when a group has been closed for long is told at once to come back")
+TEST_CASE("a caller that arrives when a group has been closed for long is refused at once with a retry delay")
 {
-    group_wait_question question;
-    question.timeLeft = milliseconds(8'000);
-    question.run = milliseconds(1'500);
-    question.closedFor = milliseconds(6'000);
-    CHECK(decideGroupWait(question).wait > milliseconds(0));
-    // No longer than the longest pause that the caller keeps to, and while it can be served.
-    question.closedFor = milliseconds(15'000);
-    CHECK((decideGroupWait(question) == group_wait_decision { milliseconds(0), milliseconds(2'666) }));
-    question.timeLeft = milliseconds(1'600);
-    CHECK((decideGroupWait(question) == group_wait_decision { milliseconds(0), milliseconds(100) }));
+    group_wait_question input;
+    input.timeLeft = milliseconds(8'000);
+    input.run = milliseconds(1'500);
+    input.closedFor = milliseconds(6'000);
+    CHECK(decideGroupWait(input).wait > milliseconds(0));
+    // The retry delay is no longer than the caller complies with, and ends while it can still be served.
+    input.closedFor = milliseconds(15'000);
+    CHECK((decideGroupWait(input) == group_wait_decision { milliseconds(0), milliseconds(2'666) }));
+    input.timeLeft = milliseconds(1'600);
+    CHECK((decideGroupWait(input) == group_wait_decision { milliseconds(0), milliseconds(100) }));
 }
--- a/Tests/platform/leadership/test.cpp
+++ b/Tests/platform/leadership/test.cpp
@@ -1,4 +1,5 @@
-// One leader in a group of 129 agents, whatever calls are lost or late.
+// Guards against none or several leaders in a group of 129 agents: calls are lost and late, agents are
+// killed, and the network is partitioned.
 #include "policy/leadership.h"
 
 #include <doctest/doctest.h>
@@ -12,8 +13,8 @@
 
 const instant zero {};
 constexpr std::size_t agents = 129;
-constexpr milliseconds lookPause { 200 };
-constexpr milliseconds askPause { 100 };
+constexpr milliseconds callInterval { 200 };
+constexpr milliseconds queryInterval { 100 };
 constexpr milliseconds tick { 20 };
 
 std::string nameOf(std::size_t agent)
@@ -21,7 +22,7 @@
     return "s" + std::to_string(1'000 + agent);
 }
 
-// Agents that call all others while they lead.
+// Agents of which each leader calls all others.
 class group {
 public:
     group(std::uint32_t seed, int lostInHundred, milliseconds latest)
@@ -46,7 +47,7 @@
         m_agents[agent] = leadership();
         m_leading[agent] = false;
     }
-    void cut(std::size_t side) { m_cutAt = side; }
+    void partition(std::size_t side) { m_partitionAt = side; }
     std::vector<std::size_t> leaders() const
     {
         std::vector<std::size_t> found;
@@ -78,10 +79,10 @@
             const bool leads = m_agents[i].leads(nameOf(i), m_members, m_now);
             m_changes += leads && !m_leading[i] ? 1 : 0;
             m_leading[i] = leads;
-            if (leads && m_now - m_calledAt[i] >= lookPause)
+            if (leads && m_now - m_calledAt[i] >= callInterval)
                 callAll(i);
-            if (m_agents[i].inDoubt(m_now) && m_now - m_askedAt[i] >= askPause)
-                askSome(i);
+            if (m_agents[i].leaderOverdue(m_now) && m_now - m_queriedAt[i] >= queryInterval)
+                querySome(i);
         }
     }
 
@@ -98,20 +99,20 @@
 
     bool lost(std::size_t from, std::size_t to)
     {
-        const bool apart = (from < m_cutAt) != (to < m_cutAt);
-        return apart || m_dead[to] || std::uniform_int_distribution<int>(0, 99)(m_random) < m_lostInHundred;
+        const bool partitioned = (from < m_partitionAt) != (to < m_partitionAt);
+        return partitioned || m_dead[to] || std::uniform_int_distribution<int>(0, 99)(m_random) < m_lostInHundred;
     }
 
-    void askSome(std::size_t asker)
+    void querySome(std::size_t querying)
     {
-        m_askedAt[asker] = m_now;
-        for (int question = 0; question < 3; ++question) {
-            const auto asked = std::uniform_int_distribution<std::size_t>(0, agents - 1)(m_random);
-            if (asked == asker || lost(asker, asked) || lost(asked, asker))
+        m_queriedAt[querying] = m_now;
+        for (int query = 0; query < 3; ++query) {
+            const auto queried = std::uniform_int_distribution<std::size_t>(0, agents - 1)(m_random);
+            if (queried == querying || lost(querying, queried) || lost(queried, querying))
                 continue;
-            const auto called = m_agents[asked].lastCall(m_now);
+            const auto called = m_agents[queried].lastCall(m_now);
             if (called)
-                m_agents[asker].noteCalled(m_agents[asked].leader(), *called);
+                m_agents[querying].noteCalled(m_agents[queried].leader(), *called);
         }
     }
 
@@ -124,10 +125,10 @@
     std::vector<bool> m_leading = std::vector<bool>(agents, false);
     std::vector<bool> m_dead = std::vector<bool>(agents, false);
     std::vector<instant> m_calledAt = std::vector<instant>(agents, zero - milliseconds(10'000));
-    std::vector<instant> m_askedAt = m_calledAt;
+    std::vector<instant> m_queriedAt = m_calledAt;
     std::multimap<instant, late_call> m_calls;
-    // Agents on different sides of it do not reach each other.
-    std::size_t m_cutAt = agents;
+    // Index of the partition: agents on different sides of it do not reach each other.
+    std::size_t m_partitionAt = agents;
     int m_changes = 0;
 };
 
@@ -147,7 +148,7 @@
     }));
 }
 
-TEST_CASE("a leader that is killed is followed by one other within 1.5 s, and does not come back as one")
+TEST_CASE("a killed leader is replaced by another one within 1.5 s, and does not lead after its restart")
 {
     group made(7, 5, milliseconds(100));
     made.run(milliseconds(2'000));
@@ -162,7 +163,7 @@
     CHECK(made.leaders() == std::vector<std::size_t> { second });
 }
 
-TEST_CASE("half of the agents are killed at once: one leader within 3 s")
+TEST_CASE("half of the agents are killed at once: there is one leader within 3 s")
 {
     CHECK(rc::check([] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -178,19 +179,19 @@
     }));
 }
 
-TEST_CASE("each side of a cut has a leader, and one of them goes on after it")
+TEST_CASE("each side of a partition has a leader, and one of the two remains after it")
 {
     group made(11, 5, milliseconds(100));
     made.run(milliseconds(2'000));
-    made.cut(40);
+    made.partition(40);
     made.run(milliseconds(4'000));
     CHECK(made.leaders().size() == 2);
-    made.cut(agents);
+    made.partition(agents);
     made.run(milliseconds(500));
     CHECK(made.leaders().size() == 1);
 }
 
-TEST_CASE("an agent that is no member leads nobody")
+TEST_CASE("an agent that is not a member does not lead")
 {
     leadership alone;
     CHECK_FALSE(alone.leads("x", { "a", "b" }, zero + milliseconds(60'000)));
--- a/Tests/platform/map-switch/engine_model.h
+++ b/Tests/platform/map-switch/engine_model.h
@@ -1,5 +1,4 @@
-// Engines of a group in lock-step, as the orders of a change of placement meet them: some
-// orders get no answer and are carried out late, some are lost.
+// Simulates the engines of a group in lock-step and how they carry out the orders of a placement change.
 #pragma once
 
 #include "policy/map_switch.h"
@@ -26,12 +25,12 @@
     {
     }
 
-    // Carries an order out at once.
+    // Carries out an order.
     order_reply apply(std::size_t rank, const map_order&);
     rank_view view(std::size_t rank) const;
-    // Begins the next step unless a rank holds it; ranks armed for it take up their placement.
+    // Begins the next step unless a rank holds it; ranks that are armed for it switch their placement.
     bool step();
-    // True if all ranks used one placement in every step that was begun.
+    // True if all ranks used the same placement in every step so far.
     bool consistent() const { return m_consistent; }
     bool anyHold() const;
     std::uint64_t steps() const { return m_step; }
--- a/Tests/platform/map-switch/test.cpp
+++ b/Tests/platform/map-switch/test.cpp
@@ -1,4 +1,5 @@
-// All ranks use one placement in each step, whatever is lost, late or killed; no hold stays.
+// Guards against ranks that use different placements in one step, and against a hold that is never
+// released: orders are lost or late, and two leaders are killed or frozen at any point.
 #include "engine_model.h"
 #include "policy/placement_number.h"
 
@@ -17,11 +18,11 @@
     int delay;
 };
 
-// A leader that is at work on one change, until it ends or the leader is killed.
+// A leader that carries out one change, until the change ends or the leader is killed.
 struct leader {
     std::optional<map_switch> change;
     int rounds = 0;
-    // Turns for which its machine stands still: it does nothing, and nobody reaches its engine.
+    // Turns for which its machine is frozen: it does nothing, and its engine cannot be reached.
     int frozen = 0;
 };
 
@@ -61,7 +62,7 @@
             begin(acting);
         if (acting.change)
             act(acting);
-        // Killed: what it had begun stays as it is.
+        // Killed: its change stays unfinished.
         if (draw(60) == 0)
             m_leaders[static_cast<std::size_t>(draw(2))].change.reset();
     }
@@ -83,7 +84,7 @@
         for (const auto& next : orders) {
             if (!acting.change)
                 break;
-            give(acting, next);
+            send(acting, next);
         }
         if (++acting.rounds > 12 + draw(14))
             acting.change->cancel();
@@ -93,30 +94,30 @@
         }
     }
 
-    void give(leader& acting, const rank_order_to_send& next)
+    void send(leader& acting, const rank_order_to_send& next)
     {
         if (unreachable(acting, next.rank)) {
-            acting.change->note(next.rank, next.order.kind, order_reply::unanswered, nullptr);
+            acting.change->handleReply(next.rank, next.order.kind, order_reply::unanswered, nullptr);
             return;
         }
-        const int luck = m_settling ? 9 : draw(10);
-        if (luck == 0) {
+        const int fault = m_settling ? 9 : draw(10);
+        if (fault == 0) {
             m_late.push_back({ next.rank, next.order, 5 + draw(60) });
-            acting.change->note(next.rank, next.order.kind, order_reply::unanswered, nullptr);
+            acting.change->handleReply(next.rank, next.order.kind, order_reply::unanswered, nullptr);
             return;
         }
-        if (luck == 1) {
-            acting.change->note(next.rank, next.order.kind, order_reply::unanswered, nullptr);
+        if (fault == 1) {
+            acting.change->handleReply(next.rank, next.order.kind, order_reply::unanswered, nullptr);
             return;
         }
         const order_reply reply = m_group.apply(next.rank, next.order);
-        // The group may go on between the order and the look at its state.
+        // The group may begin a step between the order and the reading of its state.
         if (!m_settling && draw(4) == 0)
             m_group.step();
         rank_view after = m_group.view(next.rank);
         after.fresh = draw(8) != 0;
-        const bool seen = luck != 2;
-        acting.change->note(next.rank, next.order.kind, seen ? reply : order_reply::unanswered, seen ? &after : nullptr);
+        const bool seen = fault != 2;
+        acting.change->handleReply(next.rank, next.order.kind, seen ? reply : order_reply::unanswered, seen ? &after : nullptr);
     }
 
     bool unreachable(const leader& acting, std::size_t rank) const
@@ -135,7 +136,7 @@
         std::erase_if(m_late, [](const late_order& late) { return late.delay <= 0; });
     }
 
-    // No more faults: what is left over is cleared away by the next leader.
+    // Ends all faults; the next leader cleans up what is left.
     void settle()
     {
         m_settling = true;
@@ -181,9 +182,9 @@
     CHECK(changes > 100);
 }
 
-// Seed 360918: a clean-up that was killed had disarmed two ranks but not that of the leader,
-// which then stood still; to the next clean-up the group looked as if it had never been armed.
-TEST_CASE("seeds that once broke the rule")
+// Seed 360918: a clean-up was killed after it had disarmed two ranks but not that of the leader, whose
+// machine then froze; to the next clean-up the group looked as if it had never been armed.
+TEST_CASE("seeds that once made ranks use different placements")
 {
     for (const std::uint32_t seed : { 360'918U }) {
         world made(seed);
@@ -193,7 +194,7 @@
     }
 }
 
-TEST_CASE("without faults a change is done and takes effect at the held step")
+TEST_CASE("without faults a change completes and takes effect at the held step")
 {
     group_model group(ranks);
     map_switch change(200, std::make_shared<group_placement>(), 1, ranks, 1, { 2, 5 });
@@ -202,7 +203,7 @@
         for (const auto& next : change.pending()) {
             const auto reply = group.apply(next.rank, next.order);
             const auto after = group.view(next.rank);
-            change.note(next.rank, next.order.kind, reply, &after);
+            change.handleReply(next.rank, next.order.kind, reply, &after);
         }
     }
     CHECK((change.phase() == switch_phase::done));
@@ -216,34 +217,34 @@
 {
     group_model group(ranks);
     map_switch change(200, std::make_shared<group_placement>(), 1, ranks, 0, { 2, 5 });
-    const auto giveAll = [&](std::size_t silentRank) {
+    const auto sendAll = [&](std::size_t silentRank) {
         for (const auto& next : change.pending()) {
             if (next.rank == silentRank)
                 continue;
             const auto reply = group.apply(next.rank, next.order);
             const auto after = group.view(next.rank);
-            change.note(next.rank, next.order.kind, reply, &after);
+            change.handleReply(next.rank, next.order.kind, reply, &after);
         }
     };
-    giveAll(ranks);
-    giveAll(ranks);
+    sendAll(ranks);
+    sendAll(ranks);
     REQUIRE((change.phase() == switch_phase::arming));
-    giveAll(2);
+    sendAll(2);
     CHECK((change.phase() == switch_phase::arming));
     change.cancel();
     // The leader's own rank comes first.
     CHECK((change.phase() == switch_phase::disarming_leader));
-    giveAll(2);
+    sendAll(2);
     CHECK((change.phase() == switch_phase::disarming));
-    giveAll(2);
-    // The silent rank may yet be armed by a late order: the step stays held.
+    sendAll(2);
+    // The silent rank may still be armed by a late order: the step stays held.
     CHECK((change.phase() == switch_phase::disarming));
     CHECK(group.anyHold());
-    giveAll(ranks);
-    giveAll(ranks);
+    sendAll(ranks);
+    sendAll(ranks);
     CHECK((change.phase() == switch_phase::failed));
     CHECK_FALSE(group.anyHold());
-    // The late order comes now and is refused by its fence.
+    // The late order arrives now and is refused because of its fence.
     map_order late;
     late.kind = map_order_kind::arm;
     late.placement = 200;
@@ -254,44 +255,44 @@
 
 namespace {
 
-// Gives the pending orders of a change, except those to ranks that cannot be reached.
-void giveReachable(group_model& group, map_switch& change, std::size_t unreachable)
+// Sends the pending orders of a change, except those to ranks that cannot be reached.
+void sendReachable(group_model& group, map_switch& change, std::size_t unreachable)
 {
     for (const auto& next : change.pending()) {
         if (next.rank == unreachable)
             continue;
         const auto reply = group.apply(next.rank, next.order);
         const auto after = group.view(next.rank);
-        change.note(next.rank, next.order.kind, reply, &after);
+        change.handleReply(next.rank, next.order.kind, reply, &after);
     }
 }
 
 } // namespace
 
-TEST_CASE("a leader whose machine stands still while it holds a step holds the group no longer than a clean-up")
+TEST_CASE("a step held by a leader whose machine freezes is released by a clean-up without its rank")
 {
     group_model group(ranks);
     const std::size_t frozen = 0;
     map_switch change(placementNumber(5, frozen), std::make_shared<group_placement>(), 1, ranks, frozen, { 2, 5 });
-    giveReachable(group, change, ranks);
-    giveReachable(group, change, ranks);
+    sendReachable(group, change, ranks);
+    sendReachable(group, change, ranks);
     REQUIRE((change.phase() == switch_phase::arming));
     REQUIRE(group.anyHold());
-    // Its machine stops here, with one rank armed and its own engine out of reach.
+    // Its machine freezes here, with one rank armed and its own engine unreachable.
     map_order arm = change.pending().front().order;
     REQUIRE((group.apply(1, arm) == order_reply::already));
     auto cleanUp = map_switch::cleanUp(1, ranks, 7);
-    giveReachable(group, cleanUp, frozen);
+    sendReachable(group, cleanUp, frozen);
     CHECK((cleanUp.phase() == switch_phase::claiming));
     cleanUp.cancel();
     CHECK((cleanUp.phase() == switch_phase::disarming));
-    giveReachable(group, cleanUp, frozen);
-    giveReachable(group, cleanUp, frozen);
+    sendReachable(group, cleanUp, frozen);
+    sendReachable(group, cleanUp, frozen);
     CHECK(cleanUp.ended());
     CHECK_FALSE(group.anyHold());
-    // It wakes and goes on: its orders are refused, and its own rank is never armed.
+    // It resumes: its orders are refused, and its own rank is never armed.
     for (int round = 0; round < 5; ++round)
-        giveReachable(group, change, ranks);
+        sendReachable(group, change, ranks);
     CHECK((change.phase() == switch_phase::failed));
     CHECK(group.engine(frozen).armed == 0);
     for (int i = 0; i < 5; ++i)
@@ -305,11 +306,11 @@
     const std::size_t frozen = 0;
     map_switch change(placementNumber(5, frozen), std::make_shared<group_placement>(), 1, ranks, frozen, { 2, 5 });
     for (int round = 0; round < 4; ++round)
-        giveReachable(group, change, ranks);
+        sendReachable(group, change, ranks);
     // All are armed; the release was not sent.
     REQUIRE((change.phase() == switch_phase::releasing));
     auto cleanUp = map_switch::cleanUp(1, ranks, 7);
-    giveReachable(group, cleanUp, frozen);
+    sendReachable(group, cleanUp, frozen);
     cleanUp.cancel();
     CHECK((cleanUp.phase() == switch_phase::failed));
     CHECK(group.anyHold());
--- a/Tests/platform/placement-ease/test.cpp
+++ b/Tests/platform/placement-ease/test.cpp
@@ -1,5 +1,5 @@
-// Load pattern: other experts are in demand each three seconds, at half of the load that the
-// group can carry, or near all of it.
+// Guards against a group that copies experts for gains that callers do not notice. Load pattern: other
+// experts are in demand each three seconds, at half of the load that the group can carry or near all of it.
 #include "model/expert_demand.h"
 #include "policy/group_monitor.h"
 #include "support/engine_costs.h"
@@ -14,13 +14,13 @@
 constexpr std::uint32_t ranks = 24;
 constexpr std::size_t layerSets = 16;
 constexpr std::size_t experts = 96;
-constexpr milliseconds look { 100 };
+constexpr milliseconds pollInterval { 100 };
 constexpr milliseconds changeTime { 270 };
 constexpr milliseconds shiftPause { 3'600 };
 constexpr double shiftedShare = 0.55;
-constexpr double choicesPerLook = 8'000;
+constexpr double choicesPerPoll = 8'000;
 
-monitor_settings settingsWith(double gainAtEase)
+monitor_settings settingsWith(double gainWithHeadroom)
 {
     monitor_settings settings;
     settings.demand.layerSets = layerSets;
@@ -28,7 +28,7 @@
     settings.limits.slotsPerRank = 5;
     settings.limits.newPerRank = 2;
     settings.leastGain = 0.053;
-    settings.leastGainAtEase = gainAtEase;
+    settings.leastGainAtEase = gainWithHeadroom;
     settings.costs = test::usualCosts();
     return settings;
 }
@@ -37,21 +37,21 @@
     int changes = 0;
     int copies = 0;
     double meanPass = 0;
-    // Share of the looks at which passes were longer than the gap.
+    // Share of the polls at which passes were longer than the gap.
     double late = 0;
 };
 
-outcome replay(double gainAtEase, int requestsPerRank, milliseconds gap = milliseconds(150))
+outcome replay(double gainWithHeadroom, int requestsPerRank, milliseconds gap = milliseconds(150))
 {
-    group_monitor monitor(settingsWith(gainAtEase));
+    group_monitor monitor(settingsWith(gainWithHeadroom));
     monitor.setLongestGap(gap);
     model::expert_demand demand(layerSets, experts, 0.92, 9);
     group_placement inUse = initialPlacement(layerSets, experts, ranks);
     std::uint64_t number = 0;
     std::optional<std::pair<instant, group_placement>> changing;
-    outcome seen;
-    int looks = 0;
-    for (instant now = zero; now < zero + milliseconds(30'000); now += look, ++looks) {
+    outcome result;
+    int polls = 0;
+    for (instant now = zero; now < zero + milliseconds(30'000); now += pollInterval, ++polls) {
         if ((now - zero) % shiftPause == milliseconds(0))
             demand.shift(shiftedShare);
         const auto& shares = demand.shares();
@@ -74,27 +74,27 @@
         std::vector<std::uint64_t> choices;
         for (const auto& set : shares) {
             for (const double share : set)
-                choices.push_back(static_cast<std::uint64_t>(share * choicesPerLook));
+                choices.push_back(static_cast<std::uint64_t>(share * choicesPerPoll));
         }
         monitor.noteChoices(choices, now);
         const double skew = groupSkew(inUse, shares, rank_paces(ranks, 1));
         const double pass = passTime(test::usualCosts(), requestsPerRank, { skew, 1 }) * (changing ? 1.15 : 1);
-        seen.meanPass += pass;
-        seen.late += pass > static_cast<double>(gap.count()) ? 1 : 0;
+        result.meanPass += pass;
+        result.late += pass > static_cast<double>(gap.count()) ? 1 : 0;
         if (changing)
             continue;
         const auto task = monitor.decide(now);
         if (task == leader_task::learn_placement)
-            monitor.learn(number, inUse);
+            monitor.setPlacement(number, inUse);
         if (task != leader_task::change_placement)
             continue;
-        ++seen.changes;
-        seen.copies += static_cast<int>(allNewExperts(inUse, monitor.planned()));
+        ++result.changes;
+        result.copies += static_cast<int>(allNewExperts(inUse, monitor.planned()));
         changing.emplace(now + changeTime, monitor.planned());
     }
-    seen.meanPass /= looks;
-    seen.late /= looks;
-    return seen;
+    result.meanPass /= polls;
+    result.late /= polls;
+    return result;
 }
 
 } // namespace
@@ -111,10 +111,10 @@
     }
 }
 
-TEST_CASE("where the gap cannot be kept every gain is taken")
+TEST_CASE("without headroom every gain is used")
 {
     const outcome eager = replay(0.053, 9, milliseconds(60));
     CHECK(replay(0.16, 9, milliseconds(60)).copies == eager.copies);
-    // The same where callers name no gap.
+    // The same where callers give no gap.
     CHECK(replay(0.16, 5, milliseconds(0)).copies == eager.copies);
 }
--- a/Tests/platform/placement-number/test.cpp
+++ b/Tests/platform/placement-number/test.cpp
@@ -1,4 +1,5 @@
-// Two placements of one epoch never share a number, whoever led when.
+// Guards against two placements of one epoch with the same number, also when leaders do not know of
+// each other, restart, or have a clock that went back.
 #include "policy/group_monitor.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +8,7 @@
 
 using namespace rampgap;
 
-TEST_CASE("leaders that know of no other, at any time, choose different numbers")
+TEST_CASE("leaders that do not know of each other choose different numbers, also in the same millisecond")
 {
     CHECK(rc::check([] {
         const auto now = *rc::gen::inRange<std::uint64_t>(1'700'000'000'000, 1'900'000'000'000);
@@ -21,7 +22,7 @@
     }));
 }
 
-TEST_CASE("a number is above all that a rank has shown, also if the time of day went back")
+TEST_CASE("a new number is above all reported ones, also if the wall clock went back")
 {
     group_monitor monitor { monitor_settings {} };
     rank_view view;
--- a/Tests/platform/placement-plan/test.cpp
+++ b/Tests/platform/placement-plan/test.cpp
@@ -1,4 +1,5 @@
-// Plans for the placement of experts: within all limits, and never worse.
+// Guards against plans for the placement of experts that break a limit, are worse than the present
+// placement, or leave a group far from an even load.
 #include "policy/placement_planner.h"
 
 #include <cmath>
@@ -10,7 +11,7 @@
 
 namespace {
 
-// Popularity that falls with the rank of the expert, in an order of its own for each layer set.
+// Popularity that falls by a power law, in a different order of experts for each layer set.
 expert_shares skewedShares(std::size_t sets, std::size_t experts, std::mt19937& random)
 {
     expert_shares shares(sets, std::vector<double>(experts));
@@ -70,7 +71,7 @@
     }));
 }
 
-TEST_CASE("three new experts a rank bring the load of today's groups near the mean")
+TEST_CASE("three new experts for each rank bring the load of the ranks near the mean")
 {
     std::mt19937 random(7);
     const auto shares = skewedShares(4, 72, random);
@@ -83,7 +84,7 @@
     CHECK(groupSkew(after, shares, usual) < 1.4);
 }
 
-TEST_CASE("a slow rank is relieved of experts until it holds the others back little")
+TEST_CASE("a slow rank gives up experts until it hardly delays the others")
 {
     const expert_shares even(4, std::vector<double>(72, 1.0 / 72));
     rank_paces paces(12, 1.0);
@@ -97,9 +98,9 @@
     CHECK(groupSkew(placement, even, paces) < 2.2);
 }
 
-// Demand of a group of 129 ranks as recorded: the most popular of 258 experts has six times the
-// mean. One plan per shift, since each copy takes 7 ms and two new experts a set may come at once.
-TEST_CASE("one change brings a group of 129 ranks within a fifth of an even load, two do no better")
+// Recorded demand of a group of 129 ranks: the most popular of 258 experts has six times the mean. One
+// plan must do for each shift, since a copy takes 7 ms and at most two new experts may be added in a set.
+TEST_CASE("one change brings a group of 129 ranks within a fifth of an even load, a second one hardly improves it")
 {
     std::mt19937 random(7);
     std::lognormal_distribution<double> popularity(0, 1);
--- a/Tests/platform/several-groups/test.cpp
+++ b/Tests/platform/several-groups/test.cpp
@@ -1,4 +1,5 @@
-// Several expert groups under one service: each is led, closed and chosen by itself.
+// Guards against mixing up the expert groups of one service: each has its own leader, opens and closes
+// on its own, and is chosen on its own.
 #include "policy/group_board.h"
 #include "policy/group_monitor.h"
 #include "policy/group_roster.h"
@@ -14,7 +15,7 @@
 namespace {
 
 const instant zero {};
-constexpr milliseconds life { 1'500 };
+constexpr milliseconds lifetime { 1'500 };
 const std::string service = "model";
 
 rank_view viewOf(const std::string& group, std::uint32_t rank, std::uint64_t epoch = 1)
@@ -45,7 +46,7 @@
 struct fleet {
     backend_directory backends;
     load_board loads { milliseconds(600) };
-    group_board groups { life };
+    group_board groups { lifetime };
     server_backpressure backpressure;
     std::mt19937_64 random { 5 };
 };
@@ -54,7 +55,7 @@
 void addGroups(fleet& made)
 {
     for (const std::string group : { "a", "b", "c" }) {
-        made.groups.note({ { service, group }, { 1, true } }, milliseconds(0), zero);
+        made.groups.mergeUpdate({ { service, group }, { 1, true } }, milliseconds(0), zero);
         for (std::uint32_t rank = 0; rank < 4; ++rank) {
             const std::string id = idOf(group, rank);
             made.backends.list({ id, service, "10.0.0.1" + group + std::to_string(rank) + ":80", "z", 10, false, 1 });
@@ -106,7 +107,7 @@
     }));
 }
 
-TEST_CASE("an agent whose engine starts again in another group knows nothing of that one's ranks")
+TEST_CASE("an agent whose engine moves to another group drops what it knew of the former group's ranks")
 {
     group_monitor monitor(smallSettings());
     monitor.observe({ "a0", viewOf("a", 0, 3), {} }, zero);
@@ -115,7 +116,7 @@
     monitor.follow("b");
     CHECK(monitor.groupSize() == 0);
     CHECK(monitor.backendIds().empty());
-    // An earlier epoch than the other group's: they are not to be compared.
+    // An epoch lower than the other group's: epochs of two groups are not comparable.
     monitor.observe({ "b0", viewOf("b", 0, 1), {} }, zero);
     CHECK(monitor.epoch() == 1);
 }
@@ -130,43 +131,43 @@
     }
     CHECK(roster.members(pool, "a", 3).empty());
     for (const auto& id : pool)
-        roster.note(id, id.substr(0, 1), zero);
+        roster.recordGroup(id, id.substr(0, 1), zero);
     CHECK(roster.members(pool, "b", 3) == std::vector<std::string> { "b0", "b1", "b2" });
-    // A rank that moves over.
-    roster.note("b1", "c", zero);
+    // A rank moves to another group.
+    roster.recordGroup("b1", "c", zero);
     CHECK(roster.members(pool, "b", 3) == std::vector<std::string> { "b0", "b2" });
     CHECK(roster.members(pool, "c", 3) == std::vector<std::string> { "b1", "c0", "c1", "c2" });
 }
 
-TEST_CASE("where all servers fit in one group those that nobody told of belong to it")
+TEST_CASE("where all servers fit in one group, those of an unknown group belong to it")
 {
     group_roster roster;
-    roster.note("a0", "a", zero);
+    roster.recordGroup("a0", "a", zero);
     CHECK(roster.members({ "a0", "a1" }, "a", 2) == std::vector<std::string> { "a0", "a1" });
     CHECK(roster.members({ "a0", "a1", "b0" }, "a", 2) == std::vector<std::string> { "a0" });
     CHECK(roster.unknown({ "a0", "a1", "b0" }) == std::vector<std::string> { "a1", "b0" });
 }
 
-TEST_CASE("servers are asked for their group until they tell it, and again after a while")
+TEST_CASE("servers are queried for their group until they report it, and again after a while")
 {
     group_roster roster;
     const std::vector<std::string> pool { "own", "x", "y" };
-    CHECK(roster.takeQuestions(pool, "own", zero) == std::vector<std::string> { "x", "y" });
-    CHECK(roster.takeQuestions(pool, "own", zero + milliseconds(499)).empty());
-    roster.note("x", "a", zero + milliseconds(100));
-    CHECK(roster.takeQuestions(pool, "own", zero + milliseconds(500)) == std::vector<std::string> { "y" });
-    CHECK(roster.takeQuestions(pool, "own", zero + milliseconds(10'100)) == std::vector<std::string> { "x", "y" });
-    // A server that was replaced has another id, and nobody told its group.
-    roster.takeQuestions({ "own", "y" }, "own", zero + milliseconds(10'200));
+    CHECK(roster.selectDueQueries(pool, "own", zero) == std::vector<std::string> { "x", "y" });
+    CHECK(roster.selectDueQueries(pool, "own", zero + milliseconds(499)).empty());
+    roster.recordGroup("x", "a", zero + milliseconds(100));
+    CHECK(roster.selectDueQueries(pool, "own", zero + milliseconds(500)) == std::vector<std::string> { "y" });
+    CHECK(roster.selectDueQueries(pool, "own", zero + milliseconds(10'100)) == std::vector<std::string> { "x", "y" });
+    // A replaced server has another id, and its group is not known.
+    roster.selectDueQueries({ "own", "y" }, "own", zero + milliseconds(10'200));
     CHECK(roster.groupOf("x").empty());
 }
 
-TEST_CASE("a closed group takes its own servers out of the choice and no others")
+TEST_CASE("a closed group excludes its own servers from the choice and no others")
 {
     fleet made;
     addGroups(made);
     const upstream_choice choice;
-    made.groups.note({ { service, "b" }, { 1, false } }, milliseconds(0), zero);
+    made.groups.mergeUpdate({ { service, "b" }, { 1, false } }, milliseconds(0), zero);
     CHECK_FALSE(made.groups.closed(service, zero));
     std::map<char, int> chosen;
     for (int i = 0; i < 300; ++i)
@@ -177,23 +178,23 @@
     CHECK(poolLoad({ service, std::nullopt, milliseconds(0), milliseconds(0), zero }, made.backends, made.loads, made.groups, made.backpressure).capacity == 80);
 }
 
-TEST_CASE("a refusal by an engine with room closes the group it belongs to and no other")
+TEST_CASE("a refusal by an engine with free slots closes its own group and no other")
 {
     fleet made;
     addGroups(made);
-    made.groups.noteRefusal(service, backendHash("c2"), zero + milliseconds(10));
+    made.groups.recordRefusal(service, backendHash("c2"), zero + milliseconds(10));
     const instant now = zero + milliseconds(20);
     CHECK(made.groups.closedAt(service, backendHash("c0"), now));
     CHECK_FALSE(made.groups.closedAt(service, backendHash("a0"), now));
     CHECK_FALSE(made.groups.closed(service, now));
-    // An engine whose group nobody told says nothing of the others.
-    made.groups.noteRefusal(service, backendHash("new"), now);
+    // A refusal by an engine of an unknown group closes no group.
+    made.groups.recordRefusal(service, backendHash("new"), now);
     CHECK_FALSE(made.groups.closed(service, now));
-    made.groups.note({ { service, "c" }, { 1, true } }, milliseconds(0), now);
+    made.groups.mergeUpdate({ { service, "c" }, { 1, true } }, milliseconds(0), now);
     CHECK_FALSE(made.groups.closedAt(service, backendHash("c0"), now));
 }
 
-TEST_CASE("a service is closed when all of its groups are, since the last of them closed")
+TEST_CASE("a service is closed when all of its groups are, from the time when the last of them closed")
 {
     fleet made;
     addGroups(made);
@@ -201,31 +202,31 @@
     for (const std::string group : { "a", "b", "c" }) {
         CHECK_FALSE(made.groups.closed(service, now));
         now += milliseconds(100);
-        made.groups.note({ { service, group }, { 1, false } }, milliseconds(0), now);
+        made.groups.mergeUpdate({ { service, group }, { 1, false } }, milliseconds(0), now);
     }
     CHECK(made.groups.closed(service, now));
     CHECK(made.groups.closedFor(service, now + milliseconds(50)) == milliseconds(50));
-    // Where none can run requests all servers count: the view may be wrong.
+    // Where no group is open all servers are candidates: the known state may be wrong.
     CHECK_FALSE(upstream_choice().choose(ask(), made.backends, made.loads, made.groups, made.backpressure, made.random).empty());
-    made.groups.note({ { service, "b" }, { 2, true } }, milliseconds(0), now);
+    made.groups.mergeUpdate({ { service, "b" }, { 2, true } }, milliseconds(0), now);
     CHECK_FALSE(made.groups.closed(service, now));
 }
 
-TEST_CASE("groups of two services may have one name")
+TEST_CASE("groups of two services may have the same name")
 {
-    group_board board(life);
-    board.note({ { "model", "a" }, { 1, true } }, milliseconds(0), zero);
-    board.note({ { "letters", "a" }, { 1, false } }, milliseconds(0), zero);
+    group_board board(lifetime);
+    board.mergeUpdate({ { "model", "a" }, { 1, true } }, milliseconds(0), zero);
+    board.mergeUpdate({ { "letters", "a" }, { 1, false } }, milliseconds(0), zero);
     CHECK_FALSE(board.closed("model", zero));
     CHECK(board.closed("letters", zero));
 }
 
-TEST_CASE("a group that was formed anew under another name does not keep its service open")
+TEST_CASE("a group that was formed again under another name does not keep its service open")
 {
-    group_board board(life);
-    board.note({ { service, "old" }, { 1, true } }, milliseconds(0), zero);
+    group_board board(lifetime);
+    board.mergeUpdate({ { service, "old" }, { 1, true } }, milliseconds(0), zero);
     const instant later = zero + milliseconds(10'000);
-    board.note({ { service, "new" }, { 1, false } }, milliseconds(0), later);
+    board.mergeUpdate({ { service, "new" }, { 1, false } }, milliseconds(0), later);
     CHECK(board.closed(service, later));
-    CHECK(board.news(later).size() == 1);
+    CHECK(board.updates(later).size() == 1);
 }
