--- a/Source/agent/group_member.cpp
+++ b/Source/agent/group_member.cpp
@@ -141,7 +141,7 @@
         co_return toWire(refused);
     if (!m_participant)
         m_participant.emplace(m_context.incarnation(), current.value().state);
-    auto made = m_participant->take(order, current.value().state);
+    auto made = m_participant->handle(order, current.value().state);
     if (made.order.kind == engine_order_kind::none)
         co_return toWire(made.answer);
     // Only what the engine's own report confirms is answered as done.
@@ -207,7 +207,7 @@
     if (!reply || !m_coordination)
         co_return;
     const auto before = m_coordination->coordinator.phase();
-    m_coordination->coordinator.take(outgoing.rank, fromWire(reply.value()));
+    m_coordination->coordinator.handleAnswer(outgoing.rank, fromWire(reply.value()));
     noteOutcome(before);
 }
 
@@ -229,7 +229,7 @@
     if (report.value().expertCounts.size() != static_cast<std::size_t>(m_group->experts))
         co_return false;
     m_coordination->popularity.observe(report.value().expertCounts);
-    m_coordination->coordinator.noteStep(report.value().state.step);
+    m_coordination->coordinator.recordStep(report.value().state.step);
     co_return true;
 }
 
--- a/Source/gateway/agent_process.cpp
+++ b/Source/gateway/agent_process.cpp
@@ -48,7 +48,7 @@
     , m_port(port)
     , m_state(context, log, decoder, lapsedLife)
     , m_loads(loadReportLife)
-    , m_groups(groupNewsLife)
+    , m_groups(groupUpdateLifetime)
     , m_link(context, log, port, static_cast<unsigned short>(m_settings.firstPeerPort + callPortOffset), m_settings.engineAddress)
     , m_leader(context, log, m_state, m_link, m_roster, m_settings.linkMbps)
     , m_socket(context.io())
@@ -67,7 +67,7 @@
     process->m_state.onConfiguration([raw = process.get()] { raw->configure(); });
     process->m_link.onCalled([raw = process.get()](const std::string& leader, const std::string& group) {
         if (group == raw->m_group)
-            raw->m_leadership.noteCalled(leader, raw->m_context.now());
+            raw->m_leadership.recordCall(leader, raw->m_context.now());
     });
     process->m_peers->start();
     asio::co_spawn(context.io(), process->watchLoop(), asio::detached);
@@ -165,7 +165,7 @@
         noteGroup(view.value(), own->id);
         m_peers->tellGroup({ { m_settings.engineService, m_group }, { view.value().epoch, view.value().open } });
         askGroups(own->id);
-        if (m_leadership.inDoubt(m_context.now()))
+        if (m_leadership.leaderOverdue(m_context.now()))
             askForLeader(own->id);
     }
 }
@@ -186,7 +186,7 @@
 {
     m_groupSize = view.groupSize;
     m_epoch = view.epoch;
-    m_roster.note(ownId, view.group, m_context.now());
+    m_roster.recordGroup(ownId, view.group, m_context.now());
     if (view.group == m_group)
         return;
     m_log.line("group_joined").add("group", view.group).add("rank", view.rank).add("size", view.groupSize).add("before", m_group.empty() ? "-" : m_group);
@@ -203,7 +203,7 @@
     // Where all fit in one group there is nothing to ask.
     if (all.size() <= m_groupSize)
         return;
-    for (const auto& id : m_roster.takeQuestions(all, ownId, m_context.now()))
+    for (const auto& id : m_roster.selectDueQueries(all, ownId, m_context.now()))
         sendMembership(ownId, *m_state.backends().find(id), true);
 }
 
@@ -236,9 +236,9 @@
 
 void agent_process::takeMembership(const gateway::rank_membership& told, const udp::endpoint& from)
 {
-    m_roster.note(told.backend_id(), told.group(), m_context.now());
+    m_roster.recordGroup(told.backend_id(), told.group(), m_context.now());
     if (told.group() == m_group && !told.leader().empty())
-        m_leadership.noteCalled(told.leader(), m_context.now() - milliseconds(told.leader_age_ms()));
+        m_leadership.recordCall(told.leader(), m_context.now() - milliseconds(told.leader_age_ms()));
     const auto* asker = m_state.backends().findByHost(from.address().to_string(), m_settings.engineService);
     const auto* own = ownBackend();
     if (told.wants_reply() && asker && own && !m_group.empty())
@@ -316,7 +316,7 @@
     if (m_context.now() - m_ranksToldAt < leastToldInterval || m_leader.group().empty())
         co_return;
     m_ranksToldAt = m_context.now();
-    m_peers->tellRanks({ m_settings.engineService, m_leader.group() }, m_leader.strain(), m_leader.rankLoads());
+    m_peers->tellRanks({ m_settings.engineService, m_leader.group() }, m_leader.slowdown(), m_leader.rankLoads());
 }
 
 awaitable<void> agent_process::leadLoop()
--- a/Source/gateway/agent_process.h
+++ b/Source/gateway/agent_process.h
@@ -62,7 +62,7 @@
     rank_port& m_port;
     fleet_state m_state;
     load_board m_loads;
-    group_board m_groups;
+    group_directory m_groups;
     crash_history m_history;
     server_limits m_limits;
     rank_link m_link;
--- a/Source/gateway/gateway_process.cpp
+++ b/Source/gateway/gateway_process.cpp
@@ -75,7 +75,7 @@
     , m_adapter(std::move(adapter))
     , m_state(context, log, m_adapter.decoder, milliseconds(0))
     , m_loads(loadReportLife)
-    , m_groups(groupNewsLife)
+    , m_groups(groupUpdateLifetime)
     , m_dispatcher(context, log, m_adapter.codec, m_state, m_loads, m_groups, m_history, m_backpressure, m_settings.retries)
     , m_front(context, log, m_adapter.codec, m_state, m_dispatcher, freshness_rule(m_settings.strictRevocation, m_settings.revocationBound, readingMargin))
     , m_follower(context, log, m_adapter.source, m_state, watchWait)
--- a/Source/gateway/gateway_process.h
+++ b/Source/gateway/gateway_process.h
@@ -59,7 +59,7 @@
     platform_adapter m_adapter;
     fleet_state m_state;
     load_board m_loads;
-    group_board m_groups;
+    group_directory m_groups;
     crash_history m_history;
     server_backpressure m_backpressure;
     upstream_dispatcher m_dispatcher;
--- a/Source/gateway/gateway_server.cpp
+++ b/Source/gateway/gateway_server.cpp
@@ -71,7 +71,7 @@
     const route_spec* route = configuration ? configuration->findRoute(said.host, said.path) : nullptr;
     if (!route || route->isPublic || !configuration->usesKeys())
         co_return;
-    group_wait_question question;
+    group_wait_input question;
     question.timeLeft = said.timeLeft.value_or(route->timeout);
     // Half of the time is kept for the answer, or for another try after a pause.
     question.run = question.timeLeft / 2;
@@ -113,7 +113,7 @@
     if (!configuration.usesKeys() || route.isPublic)
         return boost::outcome_v2::success();
     if (!m_freshness.mayUseKeys(m_state.published().provenAt(), m_context.now()))
-        return notRun(failure_reason::not_ready, "it is not known whether the key still holds", longestPause(said.timeLeft.value_or(route.timeout)));
+        return notRun(failure_reason::not_ready, "it is not known whether the key still holds", longestRetryPause(said.timeLeft.value_or(route.timeout)));
     const workspace_spec* workspace = configuration.findWorkspace(said.key);
     if (!workspace)
         return notRun(failure_reason::unauthenticated, "the key is unknown");
--- a/Source/gateway/group_caller.cpp
+++ b/Source/gateway/group_caller.cpp
@@ -30,7 +30,7 @@
     for (std::size_t i = 0; i < ids.size(); ++i) {
         const auto* listed = m_state.backends().find(ids[i]);
         if (listed)
-            found.push_back({ static_cast<std::uint32_t>(i), ids[i], listed->address, 0, m_reach.trust(ids[i], m_context.now()) });
+            found.push_back({ static_cast<std::uint32_t>(i), ids[i], listed->address, 0, m_reach.reachability(ids[i], m_context.now()) });
     }
     return found;
 }
@@ -63,9 +63,9 @@
 {
     for (const auto& rank : outcome.ranks) {
         const auto target = std::find_if(targets.begin(), targets.end(), [&rank](const call_target& asked) { return asked.index == rank.index; });
-        const bool throughAgent = target != targets.end() && target->trust != agent_trust::silent;
+        const bool throughAgent = target != targets.end() && target->reachability != agent_reachability::unreachable;
         if (throughAgent)
-            m_reach.note(target->backendId, rank.reached, m_context.now());
+            m_reach.record(target->backendId, rank.reached, m_context.now());
     }
 }
 
--- a/Source/gateway/group_caller.h
+++ b/Source/gateway/group_caller.h
@@ -3,7 +3,7 @@
 
 #include "gateway/fleet_state.h"
 #include "gateway/rank_link.h"
-#include "policy/agent_reach.h"
+#include "policy/reachability_tracker.h"
 
 namespace rampgap {
 
@@ -35,7 +35,7 @@
     std::string m_leader;
     std::string m_group;
     std::size_t m_ranks = 0;
-    agent_reach m_reach;
+    reachability_tracker m_reach;
 };
 
 } // namespace rampgap
--- a/Source/gateway/group_leader.cpp
+++ b/Source/gateway/group_leader.cpp
@@ -64,9 +64,9 @@
     return static_cast<std::size_t>(m_costs.layerSets) * static_cast<std::size_t>(m_costs.experts);
 }
 
-look_plan group_leader::plannedLooks() const
+poll_plan group_leader::plannedLooks() const
 {
-    return planLooks(m_caller.limits(countsBytes()), leastLookPause);
+    return planPolls(m_caller.limits(countsBytes()), leastLookPause);
 }
 
 awaitable<void> group_leader::look(group_members known)
@@ -77,7 +77,7 @@
     const std::vector<std::string> ids = idsToLookAt(std::move(known));
     auto targets = m_caller.targets(ids);
     const instant began = m_context.now();
-    const bool withCounts = m_looks++ % plannedLooks().looksPerCounts == 0;
+    const bool withCounts = m_looks++ % plannedLooks().pollsPerCounts == 0;
     const std::size_t largestAnswer = withCounts ? countsBytes() : stateAnswerBytes;
     const auto outcome = co_await m_caller.call(std::move(targets), std::nullopt, withCounts, callBudget(m_caller.limits(largestAnswer)));
     const instant now = m_context.now();
@@ -87,10 +87,10 @@
     for (const auto& rank : outcome.ranks) {
         if (!rank.after || rank.index >= ids.size())
             continue;
-        m_roster.note(ids[rank.index], rank.after->group, now);
+        m_roster.recordGroup(ids[rank.index], rank.after->group, now);
         m_monitor->observe({ ids[rank.index], *rank.after, {} }, now);
     }
-    m_monitor->noteChoices(outcome.choices, now);
+    m_monitor->recordChoices(outcome.choices, now);
 }
 
 // A rank whose agent is gone tells nobody its group: while ranks are wanting, its engine may be
@@ -122,7 +122,7 @@
     return loads;
 }
 
-group_strain group_leader::strain() const
+group_slowdown group_leader::slowdown() const
 {
     if (!m_monitor || m_monitor->groupSize() == 0)
         return {};
@@ -150,7 +150,7 @@
     case leader_task::clean_up:
         co_await cleanUp();
         break;
-    case leader_task::learn_placement:
+    case leader_task::query_placement:
         co_await learnPlacement();
         break;
     case leader_task::change_placement:
@@ -163,12 +163,12 @@
 {
     const std::uint64_t inUse = m_monitor->placementInUse();
     if (inUse == 0) {
-        m_monitor->learn(0, initialPlacement(static_cast<std::size_t>(m_costs.layerSets), static_cast<std::size_t>(m_costs.experts), m_monitor->groupSize()));
+        m_monitor->setPlacement(0, initialPlacement(static_cast<std::size_t>(m_costs.layerSets), static_cast<std::size_t>(m_costs.experts), m_monitor->groupSize()));
         co_return;
     }
     // The agent here has taken its rank's part of it, unless it was started since.
     if (const auto prepared = m_link.prepared(inUse)) {
-        m_monitor->learn(inUse, *prepared);
+        m_monitor->setPlacement(inUse, *prepared);
         m_log.line("placement_learned").add("placement", inUse).add("epoch", m_monitor->epoch()).add("source", "own agent");
         co_return;
     }
@@ -184,7 +184,7 @@
         for (std::size_t set = 0; set < contents.size(); ++set)
             contents[set][rank] = held->sets[set];
     }
-    m_monitor->learn(inUse, std::move(contents));
+    m_monitor->setPlacement(inUse, std::move(contents));
     m_log.line("placement_learned").add("placement", inUse).add("epoch", m_monitor->epoch()).add("source", "all ranks");
 }
 
@@ -203,12 +203,12 @@
     const auto placement = m_monitor->nextPlacement(static_cast<std::uint32_t>(ownRank), wallMilliseconds());
     map_switch change(placement, contents, m_monitor->epoch(), ids.size(), ownRank, settings);
     m_log.line("placement_change_begun").add("placement", change.placement()).add("epoch", m_monitor->epoch()).add("fence", settings.fence).add("slowest_pace", m_monitor->slowestPace()).add("skew", m_monitor->currentSkew()).add("planned_skew", m_monitor->plannedSkew());
-    const milliseconds copies(static_cast<std::int64_t>(std::max(longestCopyMs, expertCopyMs(m_costs))));
+    const milliseconds copies(static_cast<std::int64_t>(std::max(maxCopyMs, expertCopyMs(m_costs))));
     co_await carryOut(change, copies + prepareMargin + callBudget(m_caller.limits(packPlacement(*contents).size())));
     if (change.phase() == switch_phase::done)
-        m_monitor->noteChanged(change.placement(), *contents);
+        m_monitor->recordPlacementChange(change.placement(), *contents);
     else
-        m_monitor->noteEnded();
+        m_monitor->recordChangeEnd();
     logEnd(change, began, "placement_change_ended");
 }
 
@@ -218,7 +218,7 @@
     auto change = map_switch::cleanUp(m_monitor->epoch(), m_monitor->groupSize(), nextFence());
     m_log.line("cleanup_begun").add("holds", m_monitor->holds().size()).add("armed", m_monitor->armedPlacement()).add("epoch", m_monitor->epoch());
     co_await carryOut(change, longestClaim);
-    m_monitor->noteEnded();
+    m_monitor->recordChangeEnd();
     logEnd(change, began, "cleanup_ended");
 }
 
@@ -329,7 +329,7 @@
         m_monitor->observe({ ids[outcome.index], *outcome.after, {} }, m_context.now());
     if (kind == map_order_kind::prepare && (outcome.reply == order_reply::accepted || outcome.reply == order_reply::already))
         m_copying.insert(outcome.index);
-    change.note(outcome.index, kind, outcome.reply, outcome.after ? &*outcome.after : nullptr);
+    change.handleReply(outcome.index, kind, outcome.reply, outcome.after ? &*outcome.after : nullptr);
 }
 
 } // namespace rampgap
--- a/Source/gateway/group_leader.h
+++ b/Source/gateway/group_leader.h
@@ -40,7 +40,7 @@
     // Requests at each rank that was observed lately.
     load_report_by_hash rankLoads() const;
     // What lengthens the group's steps now, as far as it is known.
-    group_strain strain() const;
+    group_slowdown slowdown() const;
     // One look at what there is to do; returns when it is done. Call again and again.
     awaitable<void> work(group_members);
 
@@ -57,7 +57,7 @@
     awaitable<void> sendDirectly(map_switch&, std::vector<rank_order_to_send>);
     void note(map_switch&, map_order_kind, const rank_outcome&, const std::vector<std::string>& ids);
     std::vector<call_target> targetsOf(const std::vector<rank_order_to_send>&) const;
-    look_plan plannedLooks() const;
+    poll_plan plannedLooks() const;
     std::vector<std::string> idsToLookAt(group_members) const;
     // Counts of one rank, or their sum over all.
     std::size_t countsBytes() const;
--- a/Source/gateway/peer_exchange.cpp
+++ b/Source/gateway/peer_exchange.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-result<std::unique_ptr<peer_exchange>> peer_exchange::open(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_board& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings)
+result<std::unique_ptr<peer_exchange>> peer_exchange::open(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_directory& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings)
 {
     boost::system::error_code error;
     udp::socket socket(context.io());
@@ -58,7 +58,7 @@
     return std::unique_ptr<peer_exchange>(new peer_exchange(context, log, state, loads, groups, history, limits, std::move(peers), settings, std::move(socket)));
 }
 
-peer_exchange::peer_exchange(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_board& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings, udp::socket socket)
+peer_exchange::peer_exchange(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_directory& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings, udp::socket socket)
     : m_context(context)
     , m_log(log)
     , m_state(state)
@@ -117,8 +117,8 @@
 {
     bool anyNews = false;
     for (const auto& told : datagram.groups()) {
-        const group_news news { { told.service(), told.group() }, { told.epoch(), told.open() } };
-        if (!m_groups.note(news, milliseconds(told.age_ms()), m_context.now()))
+        const group_update news { { told.service(), told.group() }, { told.epoch(), told.open() } };
+        if (!m_groups.mergeUpdate(news, milliseconds(told.age_ms()), m_context.now()))
             continue;
         anyNews = true;
         m_log.line("group_state").add("group", news.key.group).add("epoch", news.phase.epoch).add("state", news.phase.open ? "open" : "closed").add("age_ms", told.age_ms());
@@ -129,7 +129,7 @@
 void peer_exchange::spreadGroups()
 {
     auto datagram = makeDatagram();
-    addGroups(datagram, m_groups.news(m_context.now()));
+    addGroups(datagram, m_groups.updates(m_context.now()));
     const std::size_t fanout = m_peers.self().role == peer_role::agent ? groupFanoutOfAgent : groupFanout;
     for (const auto& peer : m_peers.sample(peer_role::entry, fanout, m_context.random()))
         send(peer.host, datagram);
@@ -144,9 +144,9 @@
     }
 }
 
-void peer_exchange::tellGroup(const group_news& news)
+void peer_exchange::tellGroup(const group_update& news)
 {
-    if (!m_groups.note(news, milliseconds(0), m_context.now()))
+    if (!m_groups.mergeUpdate(news, milliseconds(0), m_context.now()))
         return;
     m_log.line("group_state").add("group", news.key.group).add("epoch", news.phase.epoch).add("state", news.phase.open ? "open" : "closed").add("source", "own engine");
     spreadGroups();
@@ -235,10 +235,10 @@
         return;
     const instant now = m_context.now();
     const ranks_report report = ranksOf(datagram);
-    if (report.strain.expertSkew > 0)
-        m_groups.noteStrain(report.group, report.strain, now);
+    if (report.slowdown.expertSkew > 0)
+        m_groups.recordSlowdown(report.group, report.slowdown, now);
     for (const auto& [hash, load] : report.loads)
-        m_groups.noteMember(hash, report.group);
+        m_groups.recordMember(hash, report.group);
     m_loads.noteRanks(report.loads, now);
 }
 
@@ -300,7 +300,7 @@
         }
         const bool withKnown = count++ % reportsPerMembership == 0;
         auto datagram = makeDatagram();
-        addGroups(datagram, m_groups.news(m_context.now()));
+        addGroups(datagram, m_groups.updates(m_context.now()));
         addWork(datagram, m_loads.report());
         m_limits.addNews(datagram);
         if (withKnown)
@@ -327,14 +327,14 @@
         send(peer.host, datagram);
 }
 
-void peer_exchange::tellRanks(const group_key& group, const group_strain& strain, const load_report_by_hash& ranks)
+void peer_exchange::tellRanks(const group_key& group, const group_slowdown& slowdown, const load_report_by_hash& ranks)
 {
     const bool direct = m_peers.count(peer_role::entry) <= toldDirectly;
     auto common = makeDatagram();
-    addGroups(common, m_groups.news(m_context.now()));
+    addGroups(common, m_groups.updates(m_context.now()));
     common.set_pass_on(!direct);
     const auto told = direct ? m_peers.live(peer_role::entry) : m_peers.onePerZone(peer_role::entry, m_context.random());
-    for (const auto& datagram : rankDatagrams(common, { group, strain, ranks })) {
+    for (const auto& datagram : rankDatagrams(common, { group, slowdown, ranks })) {
         for (const auto& peer : told)
             send(peer.host, datagram);
     }
--- a/Source/gateway/peer_exchange.h
+++ b/Source/gateway/peer_exchange.h
@@ -5,7 +5,7 @@
 #include "gateway/crash_gossip.h"
 #include "gateway/limit_exchange.h"
 #include "gateway/snapshot_exchange.h"
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 #include "policy/load_board.h"
 #include "policy/peer_table.h"
 
@@ -26,7 +26,7 @@
 
 class peer_exchange : private datagram_sender {
 public:
-    static result<std::unique_ptr<peer_exchange>> open(process_context&, decision_log&, fleet_state&, load_board&, group_board&, crash_history&, server_limits&, peer_table, peer_exchange_settings);
+    static result<std::unique_ptr<peer_exchange>> open(process_context&, decision_log&, fleet_state&, load_board&, group_directory&, crash_history&, server_limits&, peer_table, peer_exchange_settings);
     ~peer_exchange() override;
 
     void start();
@@ -37,9 +37,9 @@
     void announceState();
     // Tells the entry VMs how many requests are at each rank, through one of each zone;
     // leaders of groups only.
-    void tellRanks(const group_key&, const group_strain&, const load_report_by_hash&);
+    void tellRanks(const group_key&, const group_slowdown&, const load_report_by_hash&);
     // Tells a few entry VMs of a change in a group, which tell others; agents only.
-    void tellGroup(const group_news&);
+    void tellGroup(const group_update&);
     // Tells the fleet what is new in the history of crashes.
     void tellCrashes() { m_crashes.tell(); }
     // Asks the arbiters of servers with a limit for grants.
@@ -50,7 +50,7 @@
     bool heardAllSeeds() const { return m_peers.seedsToAsk().empty(); }
 
 private:
-    peer_exchange(process_context&, decision_log&, fleet_state&, load_board&, group_board&, crash_history&, server_limits&, peer_table, peer_exchange_settings, boost::asio::ip::udp::socket);
+    peer_exchange(process_context&, decision_log&, fleet_state&, load_board&, group_directory&, crash_history&, server_limits&, peer_table, peer_exchange_settings, boost::asio::ip::udp::socket);
 
     awaitable<void> receiveLoop();
     // Asks the seeds until this process holds something.
@@ -79,7 +79,7 @@
     decision_log& m_log;
     fleet_state& m_state;
     load_board& m_loads;
-    group_board& m_groups;
+    group_directory& m_groups;
     crash_history& m_history;
     peer_table m_peers;
     peer_exchange_settings m_settings;
--- a/Source/gateway/peer_wire.cpp
+++ b/Source/gateway/peer_wire.cpp
@@ -22,8 +22,8 @@
         gateway::peer_datagram datagram = common;
         datagram.mutable_ranks_group()->set_service(report.group.service);
         datagram.mutable_ranks_group()->set_group(report.group.group);
-        datagram.set_ranks_skew_percent(toPercent(report.strain.expertSkew));
-        datagram.set_ranks_slowest_pace_percent(toPercent(report.strain.slowestPace));
+        datagram.set_ranks_skew_percent(toPercent(report.slowdown.expertSkew));
+        datagram.set_ranks_slowest_pace_percent(toPercent(report.slowdown.slowestPace));
         return datagram;
     }
 
@@ -69,7 +69,7 @@
     return loads;
 }
 
-void addGroups(gateway::peer_datagram& datagram, const std::vector<std::pair<group_news, milliseconds>>& all)
+void addGroups(gateway::peer_datagram& datagram, const std::vector<std::pair<group_update, milliseconds>>& all)
 {
     for (const auto& [news, age] : all) {
         auto* added = datagram.add_groups();
@@ -100,7 +100,7 @@
 {
     ranks_report report;
     report.group = { datagram.ranks_group().service(), datagram.ranks_group().group() };
-    report.strain = { datagram.ranks_skew_percent() / percent, datagram.ranks_slowest_pace_percent() / percent };
+    report.slowdown = { datagram.ranks_skew_percent() / percent, datagram.ranks_slowest_pace_percent() / percent };
     for (const auto& work : datagram.ranks())
         report.loads[work.backend_hash()] = { static_cast<int>(work.requests()), 0, std::max(1.0, work.pace_percent() / percent) };
     return report;
--- a/Source/gateway/peer_wire.h
+++ b/Source/gateway/peer_wire.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "gateway.pb.h"
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 #include "policy/load_board.h"
 #include "policy/peer_table.h"
 #include "policy/published_state.h"
@@ -36,12 +36,12 @@
 void addWork(gateway::peer_datagram&, const load_report_by_hash&);
 load_report_by_hash workOf(const gateway::peer_datagram&);
 
-void addGroups(gateway::peer_datagram&, const std::vector<std::pair<group_news, milliseconds>>&);
+void addGroups(gateway::peer_datagram&, const std::vector<std::pair<group_update, milliseconds>>&);
 
 // Requests at the ranks of a group and what lengthens its steps, by the group's leader.
 struct ranks_report {
     group_key group;
-    group_strain strain;
+    group_slowdown slowdown;
     load_report_by_hash loads;
 };
 
--- a/Source/gateway/place_giver.cpp
+++ b/Source/gateway/place_giver.cpp
@@ -23,7 +23,7 @@
     gate.reserve(lastChancePriority, lastChanceNth);
 }
 
-place_giver::place_giver(process_context& context, fleet_state& state, load_board& loads, group_board& groups, const server_backpressure& backpressure)
+place_giver::place_giver(process_context& context, fleet_state& state, load_board& loads, group_directory& groups, const server_backpressure& backpressure)
     : m_context(context)
     , m_state(state)
     , m_loads(loads)
@@ -67,7 +67,7 @@
 void place_giver::setSlots(const admitted_request& request, desk& own) const
 {
     const instant now = m_context.now();
-    const milliseconds gap = timelyPass(request.route.gapTarget);
+    const milliseconds gap = passTimeLimit(request.route.gapTarget);
     const pool_question question { request.service, request.costs, gap, own.run.mean(), now };
     const pool_load load = poolLoad(question, m_state.backends(), m_loads, m_groups, m_backpressure);
     own.busyFraction = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
--- a/Source/gateway/place_giver.h
+++ b/Source/gateway/place_giver.h
@@ -5,7 +5,7 @@
 #include "gateway/admitted_request.h"
 #include "gateway/fleet_state.h"
 #include "policy/delay_estimate.h"
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 #include "policy/load_board.h"
 #include "policy/server_backpressure.h"
 
@@ -15,7 +15,7 @@
 
 class place_giver {
 public:
-    place_giver(process_context&, fleet_state&, load_board&, group_board&, const server_backpressure&);
+    place_giver(process_context&, fleet_state&, load_board&, group_directory&, const server_backpressure&);
 
     // Waits for a place, as long as that serves the caller. `begun`: a stream that was cut off
     // and is to go on. `again`: it has been at a server, so that its caller may have no other
@@ -54,7 +54,7 @@
     process_context& m_context;
     fleet_state& m_state;
     load_board& m_loads;
-    group_board& m_groups;
+    group_directory& m_groups;
     const server_backpressure& m_backpressure;
     std::map<std::string, desk> m_desks;
     std::size_t m_entries = 1;
--- a/Source/gateway/rank_link.cpp
+++ b/Source/gateway/rank_link.cpp
@@ -113,7 +113,7 @@
     if (question.wantsChoices) {
         auto counts = co_await m_port.counts(m_ownEngine);
         if (counts)
-            addChoices(gathered->outcome.choices, m_choices.take(std::move(counts.value().counts), counts.value().incarnation));
+            addChoices(gathered->outcome.choices, m_choices.countSinceLast(std::move(counts.value().counts), counts.value().incarnation));
     }
     const auto state = co_await m_port.state(m_ownEngine);
     if (state)
@@ -156,7 +156,7 @@
 {
     while (!part.empty()) {
         const call_target first = part.front();
-        if (first.trust == agent_trust::silent) {
+        if (first.reachability == agent_reachability::unreachable) {
             ++gathered->open;
             asio::co_spawn(m_context.io(), askEngine(gathered, question, first), asio::detached);
             part.erase(part.begin());
@@ -233,7 +233,7 @@
     group_question look = question;
     look.order.reset();
     group_outcome seen;
-    if (target.trust != agent_trust::silent) {
+    if (target.reachability != agent_reachability::unreachable) {
         std::vector<call_target> only { target };
         seen = co_await call(std::move(look), std::move(only), singleLookBudget);
     }
--- a/Source/gateway/rank_link.h
+++ b/Source/gateway/rank_link.h
@@ -7,7 +7,7 @@
 #include "gateway/rank_port.h"
 #include "policy/backend_directory.h"
 #include "policy/call_tree.h"
-#include "policy/choice_counter.h"
+#include "policy/expert_choice_counter.h"
 
 #include <functional>
 #include <map>
@@ -77,7 +77,7 @@
     unsigned short m_agentPort;
     std::string m_ownEngine;
     http_client m_client;
-    choice_counter m_choices;
+    expert_choice_counter m_choices;
     std::map<std::uint64_t, std::shared_ptr<const group_placement>> m_prepared;
     std::function<void(const std::string&, const std::string&)> m_onCalled;
 };
--- a/Source/gateway/rank_wire.cpp
+++ b/Source/gateway/rank_wire.cpp
@@ -91,7 +91,7 @@
         if (call.has_order())
             added->set_backend_id(target.backendId);
         added->set_placement(target.placement);
-        added->set_trust(static_cast<std::uint32_t>(target.trust));
+        added->set_trust(static_cast<std::uint32_t>(target.reachability));
     }
 }
 
@@ -100,7 +100,7 @@
     std::vector<call_target> targets;
     for (const auto& wire : call.targets()) {
         const std::string host = boost::asio::ip::address_v4(wire.host()).to_string();
-        const auto trust = std::min(static_cast<agent_trust>(wire.trust()), agent_trust::silent);
+        const auto trust = std::min(static_cast<agent_reachability>(wire.trust()), agent_reachability::unreachable);
         targets.push_back({ wire.index(), wire.backend_id(), host + ":" + std::to_string(wire.port()), wire.placement(), trust });
     }
     return targets;
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-upstream_dispatcher::upstream_dispatcher(process_context& context, decision_log& log, const request_codec& codec, fleet_state& state, load_board& loads, group_board& groups, crash_history& history, server_backpressure& backpressure, retry_bounds bounds)
+upstream_dispatcher::upstream_dispatcher(process_context& context, decision_log& log, const request_codec& codec, fleet_state& state, load_board& loads, group_directory& groups, crash_history& history, server_backpressure& backpressure, retry_bounds bounds)
     : m_context(context)
     , m_log(log)
     , m_codec(codec)
@@ -161,7 +161,7 @@
     if (!request.costs)
         return false;
     const instant now = m_context.now();
-    const bool awaitsNews = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupNews && !m_groups.heardOf(request.service, now);
+    const bool awaitsNews = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupNews && !m_groups.hasGroups(request.service, now);
     return awaitsNews || m_groups.closed(request.service, now);
 }
 
@@ -169,7 +169,7 @@
 {
     if (!noGroupFor(request))
         co_return std::nullopt;
-    group_wait_question question;
+    group_wait_input question;
     question.timeLeft = request.timeLeft(m_context.now());
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.waited = request.waited(m_context.now());
@@ -229,7 +229,7 @@
         return;
     const bool justStarted = m_context.now() - m_context.startedAt() < firstNews;
     if (request.costs && (justStarted || m_loads.counted(backend.id)) && m_loads.total(backend.id, m_context.now()).requests <= backend.capacity)
-        m_groups.noteRefusal(request.service, backendHash(backend.id), m_context.now());
+        m_groups.recordRefusal(request.service, backendHash(backend.id), m_context.now());
 }
 
 // A silent try is given up only for another one.
@@ -292,7 +292,7 @@
         m_places.noteEnd(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
     if (!exchange.callerGone() && !underWay.ended() && !underWay.takenBack()) {
         m_state.backends().noteResult(backend.id, outcome.result, m_context.now());
-        m_groups.noteReach(request.service, backendHash(backend.id), outcome.result != try_result::unreachable, m_context.now());
+        m_groups.recordReachability(request.service, backendHash(backend.id), outcome.result != try_result::unreachable, m_context.now());
     }
     const duration silence = m_context.now() - std::max(sentAt, state.relay.newestBytesAt);
     const lost_call lost { request.said.id, state.fingerprint, state.relay.events - eventsBefore, sentAt, m_context.now() };
@@ -331,7 +331,7 @@
     options.deadline = request.deadline;
     const bool mayGoOnElsewhere = request.route.resumable && state.runs < request.route.maxAttempts && m_budget.allowsRetry(request.service, sentAt);
     if (streams && mayGoOnElsewhere)
-        options.silenceLimit = streamSilenceLimit(m_groups.openElsewhere(request.service, backendHash(backend.id), sentAt));
+        options.silenceLimit = streamSilenceLimit(m_groups.hasOtherOpenGroup(request.service, backendHash(backend.id), sentAt));
     options.onFirstBytes = [&, sentAt] {
         underWay.noteBegun();
         m_crashes.recordAnswered(backend, sentAt);
@@ -392,7 +392,7 @@
     auto line = m_log.requestLine("try_ended");
     line.add("request", request.said.id).add("fingerprint", toString(state.fingerprint)).add("backend", backend.id).add("address", backend.address).add("try", state.tried.all.size());
     line.add("waited_ms", sentAt - request.receivedAt).add("took_ms", m_context.now() - sentAt).add("load", m_loads.total(backend.id, m_context.now()).requests).add("events", state.relay.events);
-    if (const auto age = m_groups.newsAge(request.service, backendHash(backend.id), m_context.now()))
+    if (const auto age = m_groups.stateAge(request.service, backendHash(backend.id), m_context.now()))
         line.add("group_news_ms", *age);
     if (state.relay.firstBytesAt)
         line.add("first_ms", *state.relay.firstBytesAt - request.receivedAt).add("longest_pause_ms", state.relay.longestPause);
--- a/Source/gateway/upstream_dispatcher.h
+++ b/Source/gateway/upstream_dispatcher.h
@@ -7,14 +7,14 @@
 #include "gateway/gateway_settings.h"
 #include "gateway/place_giver.h"
 #include "gateway/upstream_picker.h"
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 #include "policy/load_board.h"
 
 namespace rampgap {
 
 class upstream_dispatcher {
 public:
-    upstream_dispatcher(process_context&, decision_log&, const request_codec&, fleet_state&, load_board&, group_board&, crash_history&, server_backpressure&, retry_bounds);
+    upstream_dispatcher(process_context&, decision_log&, const request_codec&, fleet_state&, load_board&, group_directory&, crash_history&, server_backpressure&, retry_bounds);
 
     // Answers the exchange, whatever happens.
     awaitable<void> dispatch(http_exchange&, const admitted_request&);
@@ -80,7 +80,7 @@
     const request_codec& m_codec;
     fleet_state& m_state;
     load_board& m_loads;
-    group_board& m_groups;
+    group_directory& m_groups;
     crash_history& m_history;
     server_backpressure& m_backpressure;
     http_client m_client;
--- a/Source/gateway/upstream_picker.cpp
+++ b/Source/gateway/upstream_picker.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-upstream_picker::upstream_picker(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_board& groups, server_backpressure& backpressure)
+upstream_picker::upstream_picker(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_directory& groups, server_backpressure& backpressure)
     : m_context(context)
     , m_log(log)
     , m_state(state)
--- a/Source/model/caller_crowd.cpp
+++ b/Source/model/caller_crowd.cpp
@@ -158,7 +158,7 @@
 void caller_crowd::comeBack(caller& who, milliseconds pause)
 {
     const auto left = std::chrono::duration_cast<milliseconds>(who.deadline - m_events.now());
-    later(who.id, std::min(pause, longestPause(left)));
+    later(who.id, std::min(pause, longestRetryPause(left)));
 }
 
 void caller_crowd::later(std::uint64_t id, milliseconds pause)
--- a/Source/model/entry_model.cpp
+++ b/Source/model/entry_model.cpp
@@ -29,7 +29,7 @@
     , m_listed(listed)
     , m_random(seed)
     , m_loads(loadReportLife)
-    , m_groups(groupNewsLife)
+    , m_groups(groupUpdateLifetime)
     , m_queue(startLimits)
     , m_firstEvent(initialFirstEventDelay)
     , m_run(initialRunTime)
@@ -49,7 +49,7 @@
     m_attempts.clear();
     m_waiting.clear();
     m_loads = load_board(loadReportLife);
-    m_groups = group_board(groupNewsLife);
+    m_groups = group_directory(groupUpdateLifetime);
     m_queue = admission_queue(startLimits);
     m_queue.setShedding(false);
     m_queue.reserve(lastChancePriority, m_ways.lastChanceNth);
@@ -126,7 +126,7 @@
     ++of.step;
     if (timeLeft(of) < groupPoll || (of.last && !mayRepeat(of)))
         return refuse(of, fullRetryAfter);
-    group_wait_question question;
+    group_wait_input question;
     question.timeLeft = timeLeft(of);
     question.patience = patienceOf();
     question.waited = waited(of);
@@ -149,7 +149,7 @@
 
 void entry_model::setSlots()
 {
-    const milliseconds gap = timelyPass(m_scenario.gapTarget);
+    const milliseconds gap = passTimeLimit(m_scenario.gapTarget);
     const pool_load load = poolLoad({ service, m_scenario.costs, gap, m_run.mean(), m_events.now() }, m_backends, m_loads, m_groups, m_backpressure);
     m_busyPart = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
     m_slots = admissionShare({ load.toRun, load.requests, m_queue.running(), m_scenario.entries, m_groups.openFor(service, m_events.now()) });
@@ -300,7 +300,7 @@
 {
     if (!mayGoElsewhere(of))
         return;
-    const bool elsewhere = m_ways.silenceOfOneGroup && m_groups.openElsewhere(service, backendHash(of.backend), m_events.now());
+    const bool elsewhere = m_ways.silenceOfOneGroup && m_groups.hasOtherOpenGroup(service, backendHash(of.backend), m_events.now());
     const milliseconds limit = streamSilenceLimit(elsewhere);
     const auto silence = m_events.now() - of.newestAt;
     if (silence >= limit)
@@ -325,7 +325,7 @@
     m_run.observe(std::chrono::duration_cast<milliseconds>(m_events.now() - held->sentAt));
     m_backends.noteResult(held->backend, try_result::answered, m_events.now());
     if (m_ways.groupReach)
-        m_groups.noteReach(service, backendHash(held->backend), true, m_events.now());
+        m_groups.recordReachability(service, backendHash(held->backend), true, m_events.now());
     held->sentAt = {};
     finish(*held, { true, false, milliseconds(0) });
 }
@@ -339,10 +339,10 @@
 
 void entry_model::hear(const group_report& told)
 {
-    m_groups.note({ told.key, told.phase }, milliseconds(0), m_events.now());
-    m_groups.noteStrain(told.key, told.strain, m_events.now());
+    m_groups.mergeUpdate({ told.key, told.phase }, milliseconds(0), m_events.now());
+    m_groups.recordSlowdown(told.key, told.slowdown, m_events.now());
     for (const auto& [hash, load] : told.loads)
-        m_groups.noteMember(hash, told.key);
+        m_groups.recordMember(hash, told.key);
     m_loads.noteRanks(told.loads, m_events.now());
 }
 
@@ -354,11 +354,11 @@
     m_loads.noteEnded(of.backend, 0);
     m_backends.noteResult(of.backend, result, now);
     if (m_ways.groupReach)
-        m_groups.noteReach(service, backendHash(of.backend), result != try_result::unreachable, now);
+        m_groups.recordReachability(service, backendHash(of.backend), result != try_result::unreachable, now);
     if (result == try_result::silent || result == try_result::unreachable)
         of.silent.push_back(of.backend);
     if (result == try_result::refused && m_loads.counted(of.backend) && m_loads.total(of.backend, now).requests <= m_scenario.costs.capacity)
-        m_groups.noteRefusal(service, backendHash(of.backend), now);
+        m_groups.recordRefusal(service, backendHash(of.backend), now);
     of.sentAt = {};
     of.last = result;
     releasePlace(of);
--- a/Source/model/entry_model.h
+++ b/Source/model/entry_model.h
@@ -121,7 +121,7 @@
     std::mt19937_64 m_random;
     backend_directory m_backends;
     load_board m_loads;
-    group_board m_groups;
+    group_directory m_groups;
     admission_queue m_queue;
     int m_slots = 1;
     double m_busyPart = 0;
--- a/Source/model/lockstep_group.cpp
+++ b/Source/model/lockstep_group.cpp
@@ -19,8 +19,8 @@
     monitor_settings settingsOf(const scenario& given, const ways& chosen)
     {
         monitor_settings settings = monitorSettingsFor(given.costs);
-        settings.leastGain = chosen.leastGain;
-        settings.leastGainAtEase = std::max(chosen.leastGain, chosen.leastGainAtEase);
+        settings.minGain = chosen.minGain;
+        settings.minGainWithHeadroom = std::max(chosen.minGain, chosen.minGainWithHeadroom);
         return settings;
     }
 
@@ -202,7 +202,7 @@
         view.pace = m_paces[i];
         m_monitor.observe({ backendId(i), view, {} }, m_events.now());
     }
-    m_monitor.noteChoices(takeChoices(), m_events.now());
+    m_monitor.recordChoices(takeChoices(), m_events.now());
     if (m_open && !m_changing)
         decide();
     report();
@@ -212,8 +212,8 @@
 void lockstep_group::decide()
 {
     switch (m_monitor.decide(m_events.now())) {
-    case leader_task::learn_placement:
-        m_monitor.learn(m_placementNumber, m_placement);
+    case leader_task::query_placement:
+        m_monitor.setPlacement(m_placementNumber, m_placement);
         break;
     case leader_task::change_placement:
         beginChange();
@@ -225,7 +225,7 @@
 
 milliseconds lockstep_group::changeTime() const
 {
-    const double copies = expertCopyMs(m_scenario.costs) * static_cast<double>(mostNewExperts(m_placement, m_monitor.planned()));
+    const double copies = expertCopyMs(m_scenario.costs) * static_cast<double>(maxNewExperts(m_placement, m_monitor.planned()));
     return ordersTime + milliseconds(static_cast<std::int64_t>(copies));
 }
 
@@ -233,7 +233,7 @@
 {
     m_changing = true;
     ++m_changes;
-    m_copies += static_cast<int>(allNewExperts(m_placement, m_monitor.planned()));
+    m_copies += static_cast<int>(totalNewExperts(m_placement, m_monitor.planned()));
     m_events.after(changeTime(), [this, life = m_life] { endChange(life); });
 }
 
@@ -244,7 +244,7 @@
     m_changing = false;
     m_placement = m_monitor.planned();
     m_placementNumber = ++m_numbers;
-    m_monitor.noteChanged(m_placementNumber, m_placement);
+    m_monitor.recordPlacementChange(m_placementNumber, m_placement);
     m_skew = groupSkew(m_placement, m_demand.shares(), rank_paces(m_ranks.size(), 1.0));
 }
 
--- a/Source/model/lockstep_group.h
+++ b/Source/model/lockstep_group.h
@@ -4,7 +4,7 @@
 #include "model/event_queue.h"
 #include "model/expert_demand.h"
 #include "model/scenario.h"
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 #include "policy/group_monitor.h"
 #include "policy/load_board.h"
 
@@ -39,7 +39,7 @@
 struct group_report {
     group_key key;
     group_phase phase;
-    group_strain strain;
+    group_slowdown slowdown;
     load_report_by_hash loads;
 };
 
--- a/Source/model/scenario.cpp
+++ b/Source/model/scenario.cpp
@@ -141,8 +141,8 @@
         made.groupsByPass = section.flag("groups_by_pass", made.groupsByPass);
         made.silenceOfOneGroup = section.flag("silence_of_one_group", made.silenceOfOneGroup);
         made.endsLongWaits = section.flag("ends_long_waits", made.endsLongWaits);
-        made.leastGain = section.real("least_gain", made.leastGain, 0, 1);
-        made.leastGainAtEase = section.real("least_gain_at_ease", made.leastGainAtEase, 0, 1);
+        made.minGain = section.real("least_gain", made.minGain, 0, 1);
+        made.minGainWithHeadroom = section.real("least_gain_at_ease", made.minGainWithHeadroom, 0, 1);
     }
 
     // Reads a section that may be missing, then rejects keys that nobody asked for.
--- a/Source/model/scenario.h
+++ b/Source/model/scenario.h
@@ -104,8 +104,8 @@
     bool silenceOfOneGroup = true;
     // Callers are not held in closures that have lasted for long.
     bool endsLongWaits = true;
-    double leastGain = 0.053;
-    double leastGainAtEase = 0.16;
+    double minGain = 0.053;
+    double minGainWithHeadroom = 0.16;
 
     static boost::outcome_v2::checked<ways, std::vector<input_error>> read(const std::string& path);
 };
--- a/Source/policy/admission_wait.cpp
+++ b/Source/policy/admission_wait.cpp
@@ -51,7 +51,7 @@
 
 milliseconds backlogRetryDelay(milliseconds timeLeft, double draw)
 {
-    const auto longest = static_cast<double>(longestPause(timeLeft).count());
+    const auto longest = static_cast<double>(longestRetryPause(timeLeft).count());
     return milliseconds(static_cast<std::int64_t>(longest * (minPauseFraction + (1 - minPauseFraction) * draw)));
 }
 
--- a/Source/policy/call_tree.cpp
+++ b/Source/policy/call_tree.cpp
@@ -38,7 +38,7 @@
     std::vector<call_target> forwarding;
     std::vector<call_target> others;
     for (const auto& target : targets)
-        (target.reachability == agent_trust::forwards ? forwarding : others).push_back(target);
+        (target.reachability == agent_reachability::forwards ? forwarding : others).push_back(target);
     std::vector<std::vector<call_target>> parts(std::min(fanout, targets.size()));
     for (std::size_t i = 0; i < forwarding.size(); ++i)
         parts[i * std::min(parts.size(), forwarding.size()) / forwarding.size()].push_back(forwarding[i]);
@@ -66,16 +66,16 @@
     return milliseconds(static_cast<std::int64_t>(depth * (static_cast<double>(levelTime.count()) + transferMargin * transfer)));
 }
 
-look_plan planLooks(const call_limits& limits, milliseconds leastPause)
+poll_plan planPolls(const call_limits& limits, milliseconds minPause)
 {
     const std::size_t states = limits.targets * rankBytes + messagesAtCaller(limits) * overheadBytes;
     const std::size_t counts = messagesAtCaller(limits) * limits.largestMessage;
-    look_plan plan;
-    for (plan.looksPerCounts = 1;; ++plan.looksPerCounts) {
-        const auto polls = static_cast<std::size_t>(plan.looksPerCounts);
+    poll_plan plan;
+    for (plan.pollsPerCounts = 1;; ++plan.pollsPerCounts) {
+        const auto polls = static_cast<std::size_t>(plan.pollsPerCounts);
         const double pause = transferMs(states + counts / polls, limits.linkMbps) / pollShareOfLink;
-        plan.pause = std::max(leastPause, milliseconds(static_cast<std::int64_t>(pause)));
-        if (plan.pause == leastPause || plan.looksPerCounts == maxPollsPerCounts)
+        plan.pause = std::max(minPause, milliseconds(static_cast<std::int64_t>(pause)));
+        if (plan.pause == minPause || plan.pollsPerCounts == maxPollsPerCounts)
             return plan;
     }
 }
--- a/Source/policy/call_tree.h
+++ b/Source/policy/call_tree.h
@@ -11,7 +11,7 @@
 namespace rampgap {
 
 // How far a leader relies on the agent of an engine.
-enum class agent_trust {
+enum class agent_reachability {
     // Answers calls and forwards them to other ranks.
     forwards,
     // Did not answer until recently: it is called, but forwards nothing.
@@ -29,7 +29,7 @@
     std::string address;
     // Placement number of the order where it differs from rank to rank; otherwise 0.
     std::uint64_t placement = 0;
-    agent_trust reachability = agent_trust::forwards;
+    agent_reachability reachability = agent_reachability::forwards;
 
     bool operator==(const call_target&) const = default;
 };
@@ -59,19 +59,19 @@
 milliseconds callBudget(const call_limits&);
 
 // How often a leader polls all ranks.
-struct look_plan {
+struct poll_plan {
     milliseconds pause { 0 };
     // One of so many polls asks for the counts of chosen experts as well.
-    int looksPerCounts = 1;
+    int pollsPerCounts = 1;
 
-    bool operator==(const look_plan&) const = default;
+    bool operator==(const poll_plan&) const = default;
 };
 
-// Polls use a quarter of the link, with at least `leastPause` between them (small groups). Load
+// Polls use a quarter of the link, with at least `minPause` between them (small groups). Load
 // pattern: entry VMs choose ranks by the polled state; where it is old, a request waits at a full
 // rank while others have free slots. Counts make up most of the bytes, so where they would fill the
 // link every other poll omits them: modelled with 129 ranks and 0.7 of their request slots in use,
 // 0.014 of the requests are late because of such waits with polls each 0.1 s, 0.020 with 0.2 s.
-look_plan planLooks(const call_limits&, milliseconds leastPause);
+poll_plan planPolls(const call_limits&, milliseconds minPause);
 
 } // namespace rampgap
--- a/Source/policy/choice_counter.cpp
+++ b/Source/policy/expert_choice_counter.cpp
@@ -1,10 +1,10 @@
-#include "policy/choice_counter.h"
+#include "policy/expert_choice_counter.h"
 
 #include <algorithm>
 
 namespace rampgap {
 
-std::vector<std::uint64_t> choice_counter::countSinceLast(std::vector<std::uint64_t> counts, std::uint64_t incarnation)
+std::vector<std::uint64_t> expert_choice_counter::countSinceLast(std::vector<std::uint64_t> counts, std::uint64_t incarnation)
 {
     std::vector<std::uint64_t> since;
     if (counts.size() == m_last.size()) {
--- a/Source/policy/choice_counter.h
+++ b/Source/policy/expert_choice_counter.h
@@ -6,7 +6,7 @@
 
 namespace rampgap {
 
-class choice_counter {
+class expert_choice_counter {
 public:
     // Choices since the previous call; empty at the first one. Counts that decreased, or that come
     // from another incarnation of the engine, started again from 0: then all of them are new.
--- a/Source/policy/group_board.cpp
+++ b/Source/policy/group_directory.cpp
@@ -1,4 +1,4 @@
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 
 #include <algorithm>
 
@@ -25,12 +25,12 @@
 
 } // namespace
 
-group_board::group_board(milliseconds lifetime)
+group_directory::group_directory(milliseconds lifetime)
     : m_lifetime(lifetime)
 {
 }
 
-bool group_board::mergeUpdate(const group_update& update, milliseconds age, instant now)
+bool group_directory::mergeUpdate(const group_update& update, milliseconds age, instant now)
 {
     const instant at = now - age;
     const auto found = m_groups.find(update.key);
@@ -49,28 +49,28 @@
     return changed;
 }
 
-void group_board::noteMember(std::uint32_t backendHash, const group_key& key)
+void group_directory::recordMember(std::uint32_t backendHash, const group_key& key)
 {
     m_members[backendHash] = key;
 }
 
-void group_board::noteStrain(const group_key& key, const group_strain& strain, instant now)
+void group_directory::recordSlowdown(const group_key& key, const group_slowdown& slowdown, instant now)
 {
-    m_strains[key] = { strain, now };
+    m_slowdowns[key] = { slowdown, now };
 }
 
-group_strain group_board::strainAt(const std::string& service, std::uint32_t backendHash, instant now) const
+group_slowdown group_directory::slowdownAt(const std::string& service, std::uint32_t backendHash, instant now) const
 {
-    const auto found = m_strains.find(groupKeyOf(service, backendHash));
-    return found != m_strains.end() && now - found->second.second < m_lifetime ? found->second.first : group_strain {};
+    const auto found = m_slowdowns.find(groupKeyOf(service, backendHash));
+    return found != m_slowdowns.end() && now - found->second.second < m_lifetime ? found->second.first : group_slowdown {};
 }
 
-bool group_board::knownClosed(const entry& state, instant now) const
+bool group_directory::knownClosed(const entry& state, instant now) const
 {
     return !state.phase.open && now - state.confirmedAt < m_lifetime;
 }
 
-group_key group_board::groupKeyOf(const std::string& service, std::uint32_t backendHash) const
+group_key group_directory::groupKeyOf(const std::string& service, std::uint32_t backendHash) const
 {
     const auto member = m_members.find(backendHash);
     if (member != m_members.end() && member->second.service == service)
@@ -84,7 +84,7 @@
     return only ? first->first : group_key { service, {} };
 }
 
-void group_board::recordRefusal(const std::string& service, std::uint32_t backendHash, instant now)
+void group_directory::recordRefusal(const std::string& service, std::uint32_t backendHash, instant now)
 {
     const group_key key = groupKeyOf(service, backendHash);
     const bool severalGroups = key.group.empty() && m_groups.lower_bound(key) != m_groups.end() && m_groups.lower_bound(key)->first.service == service;
@@ -96,7 +96,7 @@
         m_suspicions[key].confirmedAt = now;
 }
 
-const group_board::suspicion* group_board::suspected(const group_key& key, instant now) const
+const group_directory::suspicion* group_directory::suspected(const group_key& key, instant now) const
 {
     const auto found = m_suspicions.find(key);
     if (found == m_suspicions.end() || now - found->second.confirmedAt >= suspicionTimeout)
@@ -112,7 +112,7 @@
     return std::any_of(keys.begin(), keys.end(), confirmedOpenAfter) ? nullptr : &found->second;
 }
 
-void group_board::recordReachability(const std::string& service, std::uint32_t backendHash, bool reached, instant now)
+void group_directory::recordReachability(const std::string& service, std::uint32_t backendHash, bool reached, instant now)
 {
     const group_key key = groupKeyOf(service, backendHash);
     if (key.group.empty())
@@ -126,13 +126,13 @@
     failures.last = now;
 }
 
-bool group_board::failedRecently(const group_key& key, instant now) const
+bool group_directory::failedRecently(const group_key& key, instant now) const
 {
     const auto found = m_failures.find(key);
     return found != m_failures.end() && found->second.servers.size() >= failuresOfGroup && now - found->second.last < avoidTime;
 }
 
-bool group_board::unconfirmed(const group_key& key, instant now) const
+bool group_directory::unconfirmed(const group_key& key, instant now) const
 {
     const auto found = m_groups.find(key);
     if (found == m_groups.end() || now - found->second.confirmedAt < unconfirmedAfter)
@@ -144,13 +144,13 @@
 // Load pattern: a zone with a whole group in it is cut off, and its servers stay listed for
 // seconds. Found out server by server, each of the 24 servers would cost each of 42 entry VMs one
 // connection timeout, 0.25 s of a target of 0.5 s.
-bool group_board::outOfReach(const std::string& service, std::uint32_t backendHash, instant now) const
+bool group_directory::isUnreachable(const std::string& service, std::uint32_t backendHash, instant now) const
 {
     const group_key key = groupKeyOf(service, backendHash);
     return !key.group.empty() && (failedRecently(key, now) || unconfirmed(key, now));
 }
 
-bool group_board::hasOtherOpenGroup(const std::string& service, std::uint32_t backendHash, instant now) const
+bool group_directory::hasOtherOpenGroup(const std::string& service, std::uint32_t backendHash, instant now) const
 {
     const group_key own = groupKeyOf(service, backendHash);
     const auto keys = groupsOf(service, now);
@@ -159,7 +159,7 @@
     });
 }
 
-std::optional<milliseconds> group_board::newsAge(const std::string& service, std::uint32_t backendHash, instant now) const
+std::optional<milliseconds> group_directory::stateAge(const std::string& service, std::uint32_t backendHash, instant now) const
 {
     const auto found = m_groups.find(groupKeyOf(service, backendHash));
     if (found == m_groups.end())
@@ -167,7 +167,7 @@
     return std::chrono::duration_cast<milliseconds>(now - found->second.confirmedAt);
 }
 
-std::vector<group_key> group_board::groupsOf(const std::string& service, instant now) const
+std::vector<group_key> group_directory::groupsOf(const std::string& service, instant now) const
 {
     std::vector<group_key> keys;
     for (auto group = m_groups.lower_bound({ service, {} }); group != m_groups.end() && group->first.service == service; ++group) {
@@ -177,18 +177,18 @@
     return keys;
 }
 
-bool group_board::closed(const group_key& key, instant now) const
+bool group_directory::closed(const group_key& key, instant now) const
 {
     const auto found = m_groups.find(key);
     return (found != m_groups.end() && knownClosed(found->second, now)) || suspected(key, now);
 }
 
-bool group_board::closedAt(const std::string& service, std::uint32_t backendHash, instant now) const
+bool group_directory::closedAt(const std::string& service, std::uint32_t backendHash, instant now) const
 {
     return closed(groupKeyOf(service, backendHash), now);
 }
 
-bool group_board::closed(const std::string& service, instant now) const
+bool group_directory::closed(const std::string& service, instant now) const
 {
     if (suspected({ service, {} }, now))
         return true;
@@ -196,7 +196,7 @@
     return !keys.empty() && std::all_of(keys.begin(), keys.end(), [&](const group_key& key) { return closed(key, now); });
 }
 
-milliseconds group_board::closedFor(const std::string& service, instant now) const
+milliseconds group_directory::closedFor(const std::string& service, instant now) const
 {
     instant since = now;
     bool any = false;
@@ -216,7 +216,7 @@
     return std::chrono::duration_cast<milliseconds>(now - since);
 }
 
-milliseconds group_board::openFor(const std::string& service, instant now) const
+milliseconds group_directory::openFor(const std::string& service, instant now) const
 {
     milliseconds longest { 0 };
     for (const auto& key : groupsOf(service, now)) {
@@ -227,7 +227,7 @@
     return longest;
 }
 
-std::vector<std::pair<group_update, milliseconds>> group_board::updates(instant now) const
+std::vector<std::pair<group_update, milliseconds>> group_directory::updates(instant now) const
 {
     std::vector<std::pair<group_news, milliseconds>> all;
     for (const auto& [key, state] : m_groups) {
--- a/Source/policy/group_board.h
+++ b/Source/policy/group_directory.h
@@ -43,22 +43,22 @@
 };
 
 // Agents confirm a group's state to one entry VM each 400 ms, and that one passes it on to the others.
-inline constexpr milliseconds groupNewsLife { 1'500 };
+inline constexpr milliseconds groupUpdateLifetime { 1'500 };
 
-class group_board {
+class group_directory {
 public:
     // The state of a group that was not confirmed for `lifetime` counts as unknown.
-    explicit group_board(milliseconds lifetime);
+    explicit group_directory(milliseconds lifetime);
 
     // True if the state changed. `age`: how long ago the state was confirmed.
     bool mergeUpdate(const group_update&, milliseconds age, instant now);
     // Records that a server, given by the hash of its id, is a rank of the group.
-    void noteMember(std::uint32_t backendHash, const group_key&);
+    void recordMember(std::uint32_t backendHash, const group_key&);
 
     // What lengthens the group's steps, as published by its leader.
-    void noteStrain(const group_key&, const group_strain&, instant now);
+    void recordSlowdown(const group_key&, const group_slowdown&, instant now);
     // Of the server's group; no slowdown if its leader has not published one recently.
-    group_strain strainAt(const std::string& service, std::uint32_t backendHash, instant now) const;
+    group_slowdown slowdownAt(const std::string& service, std::uint32_t backendHash, instant now) const;
 
     // Records that an engine with free request slots refused a request without running it: its
     // group is suspected to be closed until a later update shows it open. Where the engine's group
@@ -69,19 +69,19 @@
     void recordReachability(const std::string& service, std::uint32_t backendHash, bool reached, instant now);
     // True if the server's group is most likely cut off from this process, though other groups
     // of its service are not: requests should go to other groups while there are any.
-    bool outOfReach(const std::string& service, std::uint32_t backendHash, instant now) const;
+    bool isUnreachable(const std::string& service, std::uint32_t backendHash, instant now) const;
     // True if another group of the service is open and, as far as is known, reachable.
     bool hasOtherOpenGroup(const std::string& service, std::uint32_t backendHash, instant now) const;
     // The group that the server is known to be a rank of; empty if it is not known.
     std::string groupOf(const std::string& service, std::uint32_t backendHash) const { return groupKeyOf(service, backendHash).group; }
     // Time since a rank of the server's group last confirmed the group's state, as far as this
     // process knows; empty if none ever did.
-    std::optional<milliseconds> newsAge(const std::string& service, std::uint32_t backendHash, instant now) const;
+    std::optional<milliseconds> stateAge(const std::string& service, std::uint32_t backendHash, instant now) const;
 
     // True if the server's group is known or suspected to be closed.
     bool closedAt(const std::string& service, std::uint32_t backendHash, instant now) const;
     // True if any group of the service is known.
-    bool heardOf(const std::string& service, instant now) const { return !groupsOf(service, now).empty(); }
+    bool hasGroups(const std::string& service, instant now) const { return !groupsOf(service, now).empty(); }
     // True if all groups of the service are known or suspected to be closed.
     bool closed(const std::string& service, instant now) const;
     // How long the service has had no open group, as far as this process knows.
@@ -127,7 +127,7 @@
     std::map<group_key, entry> m_groups;
     std::map<group_key, suspicion> m_suspicions;
     std::map<group_key, recent_failures> m_failures;
-    std::map<group_key, std::pair<group_strain, instant>> m_strains;
+    std::map<group_key, std::pair<group_slowdown, instant>> m_slowdowns;
     std::unordered_map<std::uint32_t, group_key> m_members;
 };
 
--- a/Source/policy/group_monitor.cpp
+++ b/Source/policy/group_monitor.cpp
@@ -39,11 +39,11 @@
     settings.demand.layerSets = static_cast<std::size_t>(costs.layerSets);
     settings.demand.experts = static_cast<std::size_t>(costs.experts);
     settings.limits.slotsPerRank = static_cast<std::size_t>(costs.slotsPerRank);
-    settings.limits.newPerSet = static_cast<std::size_t>(costs.newExpertsPerPrepare);
-    settings.limits.newPerRank = std::max<std::size_t>(1, static_cast<std::size_t>(longestCopyMs / expertCopyMs(costs)));
-    const double changeCopyMs = expertCopyMs(costs) * static_cast<double>(settings.limits.newPerRank);
-    settings.leastGain = freeChangeGain + gainPerCopySecond * changeCopyMs / millisecondsPerSecond;
-    settings.leastGainAtEase = std::max(settings.leastGain, minGainIfHeadroom);
+    settings.limits.maxNewPerSet = static_cast<std::size_t>(costs.newExpertsPerPrepare);
+    settings.limits.maxNewPerRank = std::max<std::size_t>(1, static_cast<std::size_t>(maxCopyMs / expertCopyMs(costs)));
+    const double changeCopyMs = expertCopyMs(costs) * static_cast<double>(settings.limits.maxNewPerRank);
+    settings.minGain = freeChangeGain + gainPerCopySecond * changeCopyMs / millisecondsPerSecond;
+    settings.minGainWithHeadroom = std::max(settings.minGain, minGainIfHeadroom);
     settings.costs = costs;
     return settings;
 }
@@ -86,10 +86,10 @@
     m_size = observation.view.groupSize;
     m_highestPlacement = std::max({ m_highestPlacement, observation.view.placementInUse, observation.view.preparedPlacement, observation.view.armedPlacement });
     m_ranks[observation.view.rank] = { observation, now };
-    noteChoices(observation.choices, now);
+    recordChoices(observation.choices, now);
 }
 
-void group_monitor::noteChoices(const std::vector<std::uint64_t>& choices, instant now)
+void group_monitor::recordChoices(const std::vector<std::uint64_t>& choices, instant now)
 {
     m_demand.add(choices, now);
 }
@@ -100,7 +100,7 @@
     m_current = std::make_shared<const group_placement>(std::move(contents));
 }
 
-void group_monitor::noteChanged(std::uint64_t placement, group_placement contents)
+void group_monitor::recordPlacementChange(std::uint64_t placement, group_placement contents)
 {
     m_highestPlacement = std::max(m_highestPlacement, placement);
     setPlacement(placement, std::move(contents));
@@ -119,7 +119,7 @@
     const auto known = m_ranks.find(view.rank);
     if (view.fresh || known == m_ranks.end() || !known->second.last.view.fresh)
         return false;
-    return view.incarnation != known->second.last.view.incarnation && now - known->second.at < m_settings.observationLife;
+    return view.incarnation != known->second.last.view.incarnation && now - known->second.at < m_settings.observationTimeout;
 }
 
 bool group_monitor::complete(instant now) const
@@ -127,7 +127,7 @@
     if (m_size == 0 || m_ranks.size() != m_size)
         return false;
     return std::all_of(m_ranks.begin(), m_ranks.end(), [&](const auto& rank) {
-        return rank.second.last.view.open && now - rank.second.at < m_settings.observationLife;
+        return rank.second.last.view.open && now - rank.second.at < m_settings.observationTimeout;
     });
 }
 
@@ -136,7 +136,7 @@
     if (!holds().empty()) {
         if (!m_strayHoldSince)
             m_strayHoldSince = now;
-        return now - *m_strayHoldSince >= m_settings.strayLife ? leader_task::clean_up : leader_task::none;
+        return now - *m_strayHoldSince >= m_settings.strayHoldTimeout ? leader_task::clean_up : leader_task::none;
     }
     m_strayHoldSince.reset();
     // Armed without a hold: a change that was released and whose step has not begun yet. Disarming
@@ -151,20 +151,20 @@
     if (!uniform)
         return leader_task::none;
     if (m_knownPlacement != inUse)
-        return leader_task::learn_placement;
+        return leader_task::query_placement;
     const expert_shares estimate = m_demand.shares();
     const rank_paces pace = paces();
     m_currentSkew = groupSkew(*m_current, estimate, pace);
     // Planning costs processor time: it is skipped where even the best plan would not gain enough,
     // and until there are new counts to plan from.
     const double best = m_settings.limits.targetSkew;
-    const double leastGain = hasHeadroom() ? m_settings.leastGainAtEase : m_settings.leastGain;
-    if (m_currentSkew - best < leastGain * m_currentSkew)
+    const double minGain = hasHeadroom() ? m_settings.minGainWithHeadroom : m_settings.minGain;
+    if (m_currentSkew - best < minGain * m_currentSkew)
         return leader_task::none;
-    m_pauseUntil = now + m_settings.planPause;
+    m_pauseUntil = now + m_settings.planInterval;
     m_planned = planPlacement(*m_current, estimate, pace, m_settings.limits);
     m_plannedSkew = groupSkew(m_planned, estimate, pace);
-    return m_currentSkew - m_plannedSkew > leastGain * m_currentSkew ? leader_task::change_placement : leader_task::none;
+    return m_currentSkew - m_plannedSkew > minGain * m_currentSkew ? leader_task::change_placement : leader_task::none;
 }
 
 // Load pattern: demand shifts each three seconds, at half of the load that the group can carry.
--- a/Source/policy/group_monitor.h
+++ b/Source/policy/group_monitor.h
@@ -24,7 +24,7 @@
     // Release a held step that belongs to no change in progress.
     clean_up,
     // The contents of the placement in use are not known: query the ranks.
-    learn_placement,
+    query_placement,
     change_placement,
 };
 
@@ -32,25 +32,25 @@
     planner_limits limits;
     demand_settings demand;
     // The state of a rank counts as unknown once it was not observed for so long.
-    milliseconds observationLife { 800 };
+    milliseconds observationTimeout { 800 };
     // A change must shorten the predicted step time of the experts by at least this share.
-    double leastGain = 0.12;
+    double minGain = 0.12;
     // The same while the group has headroom: it would meet its callers' target with half as much
     // load again.
-    double leastGainAtEase = 0.12;
+    double minGainWithHeadroom = 0.12;
     // Published figures of the engines; not used where the steps of a pass are not given.
     engine_costs costs;
     // Time between two plans; new counts arrive each 100 ms.
-    milliseconds planPause { 100 };
+    milliseconds planInterval { 100 };
     // A hold that belongs to no change in progress is released after so long.
-    milliseconds strayLife { 250 };
+    milliseconds strayHoldTimeout { 250 };
 
     bool operator==(const monitor_settings&) const = default;
 };
 
 // Milliseconds that the copies of one change may take; at least one expert for each rank is
 // allowed. Small changes relieve the most loaded rank soonest, and the next change brings the rest.
-inline constexpr double longestCopyMs = 200;
+inline constexpr double maxCopyMs = 200;
 
 // Milliseconds that one expert takes to copy, by the published figures.
 double expertCopyMs(const engine_costs&);
@@ -70,11 +70,11 @@
     // Ranks of other groups, and of earlier epochs, are ignored.
     void observe(const rank_observation&, instant now);
     // Counts of experts chosen by any ranks of the group, since they were last queried.
-    void noteChoices(const std::vector<std::uint64_t>&, instant now);
+    void recordChoices(const std::vector<std::uint64_t>&, instant now);
     // Sets the contents of the placement in use, once they are known from all ranks.
     void setPlacement(std::uint64_t placement, group_placement contents);
     // Records that a change to `contents` was completed.
-    void noteChanged(std::uint64_t placement, group_placement contents);
+    void recordPlacementChange(std::uint64_t placement, group_placement contents);
     // Records that a change ended, whether it was completed or not.
     void recordChangeEnd();
 
--- a/Source/policy/group_wait.cpp
+++ b/Source/policy/group_wait.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-group_wait_decision decideGroupWait(const group_wait_question& input)
+group_wait_decision decideGroupWait(const group_wait_input& input)
 {
     constexpr milliseconds none { 0 };
     const milliseconds patienceLeft = input.patience - input.waited - patienceMargin;
--- a/Source/policy/group_wait.h
+++ b/Source/policy/group_wait.h
@@ -6,7 +6,7 @@
 
 namespace rampgap {
 
-struct group_wait_question {
+struct group_wait_input {
     // Time until the caller's deadline.
     milliseconds timeLeft { 0 };
     // Time without an answer after which the caller gives up.
@@ -35,7 +35,7 @@
 // retry delay, within 5 s. A caller that can no longer get a complete answer is refused at once, and
 // so are all callers once the closure has lasted so long that hardly any of them would see its end:
 // a group may never open.
-group_wait_decision decideGroupWait(const group_wait_question&);
+group_wait_decision decideGroupWait(const group_wait_input&);
 
 // The longest retry delay that a caller complies with. A process that has lost the store refuses with
 // this delay, since the balancer takes two seconds to send callers elsewhere.
--- a/Source/policy/leadership.cpp
+++ b/Source/policy/leadership.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void leadership::noteCalled(const std::string& caller, instant at)
+void leadership::recordCall(const std::string& caller, instant at)
 {
     if (m_everCalled && m_waitingSince && at < *m_waitingSince)
         return;
--- a/Source/policy/leadership.h
+++ b/Source/policy/leadership.h
@@ -34,7 +34,7 @@
     }
 
     // Records that the leader `caller` called at that time: this agent, or another one that reports it.
-    void noteCalled(const std::string& caller, instant at);
+    void recordCall(const std::string& caller, instant at);
     // True if the leader's calls may have been lost: then other agents are to be queried for its
     // last call. Of 129 agents there are always some that miss four calls in a row.
     bool leaderOverdue(instant now) const;
--- a/Source/policy/map_coordinator.h
+++ b/Source/policy/map_coordinator.h
@@ -48,7 +48,7 @@
     // The highest step that a rank reported.
     step_number highestStep() const;
     // Records a step that was read from an engine.
-    void noteStep(step_number step) { m_recordedStep = step; }
+    void recordStep(step_number step) { m_recordedStep = step; }
     std::uint64_t commits() const { return m_commits; }
 
 private:
--- a/Source/policy/map_participant.cpp
+++ b/Source/policy/map_participant.cpp
@@ -46,7 +46,7 @@
 {
     if (m_state.stagedMap == message.map && m_state.stagedStep == message.step)
         return answer(map_message_kind::prepared, message);
-    const bool tooLate = message.step < m_state.step + leastStepsAhead;
+    const bool tooLate = message.step < m_state.step + minStepsAhead;
     // An engine keeps only one future map: the last switch must have taken effect.
     const bool switchAhead = m_state.committedStep > m_state.step;
     if (tooLate || switchAhead || m_state.stagedMap != 0 || message.map <= m_state.committedMap || message.map <= m_decided)
--- a/Source/policy/map_participant.h
+++ b/Source/policy/map_participant.h
@@ -6,7 +6,7 @@
 namespace rampgap {
 
 // Fewest steps between a rank's present step and a switch that it accepts.
-inline constexpr step_number leastStepsAhead = 2;
+inline constexpr step_number minStepsAhead = 2;
 
 // An order for the engine, and the answer to send once the engine has confirmed the order.
 struct participant_answer {
--- a/Source/policy/pass_model.cpp
+++ b/Source/policy/pass_model.cpp
@@ -21,21 +21,21 @@
     }
 
     // Answers for each millisecond, up to a common factor.
-    double rate(const engine_costs& costs, int sequences, const group_strain& strain)
+    double rate(const engine_costs& costs, int sequences, const group_slowdown& slowdown)
     {
-        return sequences / passTime(costs, sequences, strain);
+        return sequences / passTime(costs, sequences, slowdown);
     }
 
 } // namespace
 
-double passTime(const engine_costs& costs, double sequences, const group_strain& strain)
+double passTime(const engine_costs& costs, double sequences, const group_slowdown& slowdown)
 {
     const double forTokens = sequences * sequenceTime(costs);
     const double ownPart = costs.stepMs * costs.stepsPerPass + (1 - costs.expertShare) * forTokens;
-    return strain.slowestPace * ownPart + strain.expertSkew * costs.expertShare * forTokens;
+    return slowdown.slowestPace * ownPart + slowdown.expertSkew * costs.expertShare * forTokens;
 }
 
-milliseconds timelyPass(milliseconds longestGap)
+milliseconds passTimeLimit(milliseconds longestGap)
 {
     return longestGap * passTenthsOfGap / 10;
 }
@@ -43,13 +43,13 @@
 // Load pattern: a shift of demand triples the expert part for half a second; with fewer sequences
 // the passes stay short enough. A rank that is twelve times slower makes every pass late, however
 // few sequences run: then ranks that use their whole capacity serve most requests, though late.
-int sequencesToRun(const engine_costs& costs, const group_strain& strain, milliseconds longestGap)
+int sequencesToRun(const engine_costs& costs, const group_slowdown& slowdown, milliseconds longestGap)
 {
     const int capacity = std::max(1, costs.capacity);
     int timely = 0;
-    while (timely < capacity && passTime(costs, timely + 1, strain) <= static_cast<double>(longestGap.count()))
+    while (timely < capacity && passTime(costs, timely + 1, slowdown) <= static_cast<double>(longestGap.count()))
         ++timely;
-    const bool preferTimely = timely > 0 && rate(costs, timely, strain) >= lateAnswerValue * rate(costs, capacity, strain);
+    const bool preferTimely = timely > 0 && rate(costs, timely, slowdown) >= lateAnswerValue * rate(costs, capacity, slowdown);
     return preferTimely ? timely : capacity;
 }
 
--- a/Source/policy/pass_model.h
+++ b/Source/policy/pass_model.h
@@ -6,25 +6,25 @@
 namespace rampgap {
 
 // What lengthens the steps of a group at present: load skew and its slowest rank.
-struct group_strain {
+struct group_slowdown {
     // Predicted expert part of a step divided by that of an even load.
     double expertSkew = 1;
     // Pace of the slowest rank: how much longer than usual it takes; 1 if none is slow.
     double slowestPace = 1;
 
-    bool operator==(const group_strain&) const = default;
+    bool operator==(const group_slowdown&) const = default;
 };
 
 // Milliseconds of a pass of a group whose ranks each generate `sequences` answers and read the
 // prompts that arrive for them.
-double passTime(const engine_costs&, double sequences, const group_strain&);
+double passTime(const engine_costs&, double sequences, const group_slowdown&);
 
 // Longest predicted pass for callers that accept gaps up to `longestGap`; leaves a margin, since passes
 // vary.
-milliseconds timelyPass(milliseconds longestGap);
+milliseconds passTimeLimit(milliseconds longestGap);
 
 // Sequences that each rank should run at once: as many as still give each stream an event within
 // `longestGap`, or its whole capacity where that serves more.
-int sequencesToRun(const engine_costs&, const group_strain&, milliseconds longestGap);
+int sequencesToRun(const engine_costs&, const group_slowdown&, milliseconds longestGap);
 
 } // namespace rampgap
--- a/Source/policy/placement_planner.cpp
+++ b/Source/policy/placement_planner.cpp
@@ -12,7 +12,7 @@
     using layer_ranks = std::vector<std::vector<expert>>;
 
     // Smallest useful gain as a share of the mean load; less is within the error of the estimate.
-    constexpr double leastGainOfMean = 0.04;
+    constexpr double minGainOfMean = 0.04;
 
     // Rounding error as a share of the mean load: sums of the same loads in another order may differ
     // by this.
@@ -44,7 +44,7 @@
                     m_holders[e].push_back(rank);
             }
             m_mean = std::accumulate(shares.begin(), shares.end(), 0.0) / static_cast<double>(m_ranks.size());
-            m_leastGain = leastGainOfMean * m_mean;
+            m_minGain = minGainOfMean * m_mean;
             measure();
         }
 
@@ -108,7 +108,7 @@
         bool mayAdd(std::size_t rank, expert e) const
         {
             const bool wasHeld = contains(m_before[rank], e);
-            return wasHeld || (m_newBudget[rank] > 0 && m_newInSet[rank] < m_limits.newPerSet);
+            return wasHeld || (m_newBudget[rank] > 0 && m_newInSet[rank] < m_limits.maxNewPerSet);
         }
 
         // The replica with the smallest load that a full rank can drop; null if all its experts are
@@ -132,7 +132,7 @@
         {
             const double before = m_loads[hot];
             const double gain = (share(e) - m_shares[e] / static_cast<double>(replicas(e) + 1)) * m_paces[hot];
-            if (gain < m_leastGain)
+            if (gain < m_minGain)
                 return false;
             std::vector<bool> tried(m_ranks.size(), false);
             std::size_t tries = 0;
@@ -152,7 +152,7 @@
                     remove(rank, dropped);
                 }
                 add(rank, e);
-                if (m_loads[hot] < before - m_leastGain / 2 && m_loads[rank] < before - m_leastGain / 2 && worstLoad() <= before + roundingError * m_mean) {
+                if (m_loads[hot] < before - m_minGain / 2 && m_loads[rank] < before - m_minGain / 2 && worstLoad() <= before + roundingError * m_mean) {
                     countNew(rank, e);
                     return true;
                 }
@@ -179,7 +179,7 @@
         bool swap(std::size_t hot)
         {
             const double before = m_loads[hot];
-            double best = before - m_leastGain;
+            double best = before - m_minGain;
             std::size_t bestRank = hot;
             expert given = 0;
             expert taken = 0;
@@ -223,7 +223,7 @@
                 if (replicas(e) < 2)
                     continue;
                 remove(hot, e);
-                if (worstLoad() < before - m_leastGain)
+                if (worstLoad() < before - m_minGain)
                     return true;
                 add(hot, e);
             }
@@ -249,7 +249,7 @@
         std::vector<std::size_t> m_newInSet;
         std::vector<double> m_loads;
         double m_mean = 0;
-        double m_leastGain = 0;
+        double m_minGain = 0;
     };
 
 } // namespace
@@ -292,7 +292,7 @@
 {
     if (current.empty())
         return current;
-    std::vector<std::size_t> newBudget(current.front().size(), limits.newPerRank);
+    std::vector<std::size_t> newBudget(current.front().size(), limits.maxNewPerRank);
     std::vector<layer_planner> layers;
     layers.reserve(current.size());
     for (std::size_t set = 0; set < current.size(); ++set)
@@ -334,13 +334,13 @@
 
 } // namespace
 
-std::size_t allNewExperts(const group_placement& from, const group_placement& to)
+std::size_t totalNewExperts(const group_placement& from, const group_placement& to)
 {
     const auto added = newExperts(from, to);
     return std::accumulate(added.begin(), added.end(), std::size_t { 0 });
 }
 
-std::size_t mostNewExperts(const group_placement& from, const group_placement& to)
+std::size_t maxNewExperts(const group_placement& from, const group_placement& to)
 {
     const auto added = newExperts(from, to);
     return added.empty() ? 0 : *std::max_element(added.begin(), added.end());
--- a/Source/policy/placement_planner.h
+++ b/Source/policy/placement_planner.h
@@ -11,9 +11,9 @@
 struct planner_limits {
     std::size_t slotsPerRank = 8;
     // Most new experts that one preparation may add to a rank in one layer set.
-    std::size_t newPerSet = 3;
+    std::size_t maxNewPerSet = 3;
     // Most new experts of a rank over all layer sets: each takes time to copy.
-    std::size_t newPerRank = 4;
+    std::size_t maxNewPerRank = 4;
     // Load of the most loaded rank divided by the mean, up to which no expert is copied.
     double targetSkew = 1.12;
 
@@ -39,7 +39,7 @@
 group_placement planPlacement(const group_placement& current, const expert_shares&, const rank_paces&, const planner_limits&);
 
 // Number of new experts over all layer sets: of all ranks together, and of the rank with the most.
-std::size_t allNewExperts(const group_placement& from, const group_placement& to);
-std::size_t mostNewExperts(const group_placement& from, const group_placement& to);
+std::size_t totalNewExperts(const group_placement& from, const group_placement& to);
+std::size_t maxNewExperts(const group_placement& from, const group_placement& to);
 
 } // namespace rampgap
--- a/Source/policy/agent_reach.cpp
+++ b/Source/policy/reachability_tracker.cpp
@@ -1,4 +1,4 @@
-#include "policy/agent_reach.h"
+#include "policy/reachability_tracker.h"
 
 namespace rampgap {
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void agent_reach::record(const std::string& backendId, bool reached, instant now)
+void reachability_tracker::record(const std::string& backendId, bool reached, instant now)
 {
     if (reached)
         m_failedAt.erase(backendId);
@@ -19,12 +19,12 @@
         m_failedAt[backendId] = now;
 }
 
-agent_trust agent_reach::reachability(const std::string& backendId, instant now) const
+agent_reachability reachability_tracker::reachability(const std::string& backendId, instant now) const
 {
     const auto failed = m_failedAt.find(backendId);
     if (failed == m_failedAt.end())
-        return agent_trust::forwards;
-    return now - failed->second < bypassTime ? agent_trust::unreachable : agent_trust::answers_only;
+        return agent_reachability::forwards;
+    return now - failed->second < bypassTime ? agent_reachability::unreachable : agent_reachability::answers_only;
 }
 
 } // namespace rampgap
--- a/Source/policy/straggler_detector.cpp
+++ b/Source/policy/straggler_detector.cpp
@@ -40,9 +40,9 @@
     for (std::size_t rank = 0; rank < m_verdicts.size(); ++rank) {
         rank_verdict& verdict = m_verdicts[rank];
         const bool slow = timePerWork[rank] > limit;
-        verdict.slowFor = slow ? verdict.slowFor + 1 : 0;
-        m_smoothed[rank] = verdict.slowFor <= 1 ? timePerWork[rank] / centre : m_smoothed[rank] + smoothing * (timePerWork[rank] / centre - m_smoothed[rank]);
-        verdict.straggler = verdict.slowFor >= m_minSlowIntervals;
+        verdict.slowIntervals = slow ? verdict.slowIntervals + 1 : 0;
+        m_smoothed[rank] = verdict.slowIntervals <= 1 ? timePerWork[rank] / centre : m_smoothed[rank] + smoothing * (timePerWork[rank] / centre - m_smoothed[rank]);
+        verdict.straggler = verdict.slowIntervals >= m_minSlowIntervals;
         verdict.speed = verdict.straggler ? 1 / m_smoothed[rank] : 1;
     }
 }
--- a/Source/policy/straggler_detector.h
+++ b/Source/policy/straggler_detector.h
@@ -11,7 +11,7 @@
     double speed = 1;
     bool straggler = false;
     // Intervals in a row in which the rank was slow.
-    std::size_t slowFor = 0;
+    std::size_t slowIntervals = 0;
 
     bool operator==(const rank_verdict&) const = default;
 };
--- a/Source/policy/upstream_choice.cpp
+++ b/Source/policy/upstream_choice.cpp
@@ -45,13 +45,13 @@
 namespace {
 
     // The servers that can be reached and run requests, as far as is known; all where none can.
-    std::vector<std::string> runningPool(const std::string& service, const backend_directory& backends, const group_board& groups, instant now)
+    std::vector<std::string> runningPool(const std::string& service, const backend_directory& backends, const group_directory& groups, instant now)
     {
         std::vector<std::string> pool = backends.pool(service);
         if (!groups.closed(service, now))
             std::erase_if(pool, [&](const std::string& id) { return groups.closedAt(service, backendHash(id), now); });
         std::vector<std::string> reachable = pool;
-        std::erase_if(reachable, [&](const std::string& id) { return groups.outOfReach(service, backendHash(id), now); });
+        std::erase_if(reachable, [&](const std::string& id) { return groups.isUnreachable(service, backendHash(id), now); });
         return reachable.empty() ? pool : reachable;
     }
 
@@ -64,7 +64,7 @@
         int requests = 0;
         int ranks = 0;
         int capacity = 0;
-        group_strain strain;
+        group_slowdown slowdown;
     };
 
     // Load pattern: one rank of a group turns five times slower, or demand shifts in one of
@@ -73,10 +73,10 @@
     // the few that show room (149 of them before 129 ranks: 0.024 wait too long, 0.020 without).
     bool runsInTime(const upstream_question& question, const group_load& load)
     {
-        const milliseconds gap = timelyPass(question.longestGap);
-        const int limit = std::min(load.capacity, sequencesToRun(*question.costs, load.strain, gap));
+        const milliseconds gap = passTimeLimit(question.longestGap);
+        const int limit = std::min(load.capacity, sequencesToRun(*question.costs, load.slowdown, gap));
         const bool hasRoom = load.requests < limit * load.ranks;
-        return hasRoom && passTime(*question.costs, limit, load.strain) <= static_cast<double>(gap.count());
+        return hasRoom && passTime(*question.costs, limit, load.slowdown) <= static_cast<double>(gap.count());
     }
 
 } // namespace
@@ -95,7 +95,7 @@
 
 } // namespace
 
-pool_load poolLoad(const pool_question& question, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
+pool_load poolLoad(const pool_question& question, const backend_directory& backends, const load_board& loads, const group_directory& groups, const server_backpressure& backpressure)
 {
     pool_load sum;
     for (const auto& id : runningPool(question.service, backends, groups, question.now)) {
@@ -104,13 +104,13 @@
         const int capacity = fillablePlaces(*backends.find(id), backpressure, question);
         sum.capacity += capacity;
         const bool bounded = question.costs && question.longestGap > milliseconds(0);
-        sum.toRun += bounded ? std::min(capacity, sequencesToRun(*question.costs, groups.strainAt(question.service, backendHash(id), question.now), question.longestGap)) : capacity;
+        sum.toRun += bounded ? std::min(capacity, sequencesToRun(*question.costs, groups.slowdownAt(question.service, backendHash(id), question.now), question.longestGap)) : capacity;
         sum.requests += loads.total(id, question.now).requests;
     }
     return sum;
 }
 
-std::vector<upstream_choice::candidate> upstream_choice::candidates(const upstream_question& question, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
+std::vector<upstream_choice::candidate> upstream_choice::candidates(const upstream_question& question, const backend_directory& backends, const load_board& loads, const group_directory& groups, const server_backpressure& backpressure)
 {
     std::vector<candidate> found;
     std::map<std::string, group_load> byGroup;
@@ -134,7 +134,7 @@
         each.group = groups.groupOf(question.service, hash);
         auto& group = byGroup[each.group];
         if (group.ranks++ == 0)
-            group.strain = groups.strainAt(question.service, hash, question.now);
+            group.slowdown = groups.slowdownAt(question.service, hash, question.now);
         group.requests += load.requests;
         group.capacity = listed->capacity;
         each.id = std::move(id);
@@ -151,7 +151,7 @@
     return found;
 }
 
-void upstream_choice::prefer(std::vector<candidate>& all, const upstream_question& question, const group_board& groups)
+void upstream_choice::prefer(std::vector<candidate>& all, const upstream_question& question, const group_directory& groups)
 {
     const auto keepIfAny = [&all](const auto& good) {
         if (std::any_of(all.begin(), all.end(), good))
@@ -185,7 +185,7 @@
     return *std::min_element(all.begin(), all.end(), byDelay);
 }
 
-std::string upstream_choice::choose(const upstream_question& question, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure, std::mt19937_64& random) const
+std::string upstream_choice::choose(const upstream_question& question, const backend_directory& backends, const load_board& loads, const group_directory& groups, const server_backpressure& backpressure, std::mt19937_64& random) const
 {
     std::vector<candidate> all = candidates(question, backends, loads, groups, backpressure);
     if (all.empty())
--- a/Source/policy/upstream_choice.h
+++ b/Source/policy/upstream_choice.h
@@ -3,7 +3,7 @@
 
 #include "policy/backend_directory.h"
 #include "policy/fleet_configuration.h"
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 #include "policy/load_board.h"
 #include "policy/server_backpressure.h"
 
@@ -55,14 +55,14 @@
     instant now;
 };
 
-pool_load poolLoad(const pool_question&, const backend_directory&, const load_board&, const group_board&, const server_backpressure&);
+pool_load poolLoad(const pool_question&, const backend_directory&, const load_board&, const group_directory&, const server_backpressure&);
 
 class upstream_choice {
 public:
     // The id of the server; empty if the service has none that may be sent to. A server whose group is closed is
     // chosen only where all are, one whose group's passes are too long for the caller, or that
     // has all that it can run in time, only where no other is left.
-    std::string choose(const upstream_question&, const backend_directory&, const load_board&, const group_board&, const server_backpressure&, std::mt19937_64&) const;
+    std::string choose(const upstream_question&, const backend_directory&, const load_board&, const group_directory&, const server_backpressure&, std::mt19937_64&) const;
 
 private:
     struct candidate {
@@ -78,9 +78,9 @@
         bool timely = true;
     };
 
-    static std::vector<candidate> candidates(const upstream_question&, const backend_directory&, const load_board&, const group_board&, const server_backpressure&);
+    static std::vector<candidate> candidates(const upstream_question&, const backend_directory&, const load_board&, const group_directory&, const server_backpressure&);
     // Leaves what is best kept away from, as long as anything else is left.
-    static void prefer(std::vector<candidate>&, const upstream_question&, const group_board&);
+    static void prefer(std::vector<candidate>&, const upstream_question&, const group_directory&);
     static const candidate& bestOfFew(const std::vector<candidate>&, std::mt19937_64&);
 };
 
--- a/Tests/model/load-patterns/test.cpp
+++ b/Tests/model/load-patterns/test.cpp
@@ -67,7 +67,7 @@
 {
     const scenario given = load("shifts");
     ways eager;
-    eager.leastGainAtEase = eager.leastGain;
+    eager.minGainWithHeadroom = eager.minGain;
     const figures now = meanOf(given, {});
     const figures before = meanOf(given, eager);
     CHECK(now.copies <= before.copies * 0.65);
--- a/Tests/platform/admission-wait/test.cpp
+++ b/Tests/platform/admission-wait/test.cpp
@@ -124,7 +124,7 @@
     const auto costs = usualCosts();
     constexpr milliseconds gap { 108 };
     CHECK(sequencesToRun(costs, { 1.2, 1 }, gap) == 12);
-    const group_strain shifted { 3.2, 1 };
+    const group_slowdown shifted { 3.2, 1 };
     const int fitting = sequencesToRun(costs, shifted, gap);
     CHECK(fitting >= 5);
     CHECK(fitting <= 9);
--- a/Tests/platform/cut-group/test.cpp
+++ b/Tests/platform/cut-group/test.cpp
@@ -34,7 +34,7 @@
             for (int rank = 0; rank < ranksOfGroup; ++rank) {
                 const std::string id = idOf(zone, rank);
                 m_backends.list({ id, service, "10.0." + zone + "." + std::to_string(rank) + ":80", zone, 10, false, 1 });
-                groups.noteMember(backendHash(id), { service, zone });
+                groups.recordMember(backendHash(id), { service, zone });
             }
         }
     }
@@ -44,7 +44,7 @@
     {
         for (const std::string zone : { "a", "b", "c" }) {
             if (zone != cut || now < cutAt)
-                groups.note({ { service, zone }, { 1, true } }, milliseconds(0), now);
+                groups.mergeUpdate({ { service, zone }, { 1, true } }, milliseconds(0), now);
         }
         // The own zone is the busiest, so that others are chosen too.
         load_report_by_hash counts;
@@ -69,7 +69,7 @@
         const bool reached = zone != cut;
         const instant ended = reached ? now : now + connectTimeout;
         m_backends.noteResult(id, reached ? try_result::answered : try_result::unreachable, ended);
-        groups.noteReach(service, backendHash(id), reached, ended);
+        groups.recordReachability(service, backendHash(id), reached, ended);
         return zone;
     }
 
@@ -86,7 +86,7 @@
         return m_choice.choose(question, m_backends, m_loads, groups, server_backpressure(), m_random).substr(0, 1);
     }
 
-    group_board groups { milliseconds(1'500) };
+    group_directory groups { milliseconds(1'500) };
 
 private:
     backend_directory m_backends;
@@ -128,14 +128,14 @@
     entry_vm entry;
     entry.hear(zero, "none", zero);
     for (int i = 0; i < 5; ++i)
-        entry.groups.noteReach(service, backendHash(idOf("a", 3)), false, zero);
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
-    entry.groups.noteReach(service, backendHash(idOf("a", 5)), false, zero);
-    CHECK(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
+        entry.groups.recordReachability(service, backendHash(idOf("a", 3)), false, zero);
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("a", 4)), zero));
+    entry.groups.recordReachability(service, backendHash(idOf("a", 5)), false, zero);
+    CHECK(entry.groups.isUnreachable(service, backendHash(idOf("a", 4)), zero));
     // Other groups are not concerned, and one success ends it.
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("b", 4)), zero));
-    entry.groups.noteReach(service, backendHash(idOf("a", 6)), true, zero);
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("b", 4)), zero));
+    entry.groups.recordReachability(service, backendHash(idOf("a", 6)), true, zero);
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("a", 4)), zero));
 }
 
 TEST_CASE("where no group is heard of, or there is only one, silence says nothing")
@@ -143,11 +143,11 @@
     entry_vm entry;
     entry.hear(zero, "none", zero);
     const instant later = zero + milliseconds(5'000);
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 0)), later));
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("a", 0)), later));
     // One is heard of again, the others are not.
-    entry.groups.note({ { service, "b" }, { 1, true } }, milliseconds(0), later);
-    CHECK(entry.groups.outOfReach(service, backendHash(idOf("a", 0)), later));
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("b", 0)), later));
+    entry.groups.mergeUpdate({ { service, "b" }, { 1, true } }, milliseconds(0), later);
+    CHECK(entry.groups.isUnreachable(service, backendHash(idOf("a", 0)), later));
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("b", 0)), later));
 }
 
 TEST_CASE("servers out of reach are used where there are no others")
@@ -156,7 +156,7 @@
     entry.hear(zero, "none", zero);
     for (const std::string zone : { "a", "b", "c" }) {
         for (int rank = 0; rank < 3; ++rank)
-            entry.groups.noteReach(service, backendHash(idOf(zone, rank)), false, zero);
+            entry.groups.recordReachability(service, backendHash(idOf(zone, rank)), false, zero);
     }
     CHECK_FALSE(entry.tryAt(zero, "none").empty());
 }
@@ -167,11 +167,11 @@
     entry.hear(zero, "none", zero);
     for (int i = 0; i < 50; ++i)
         CHECK(entry.retryAfterSilenceOf(idOf("b", i % ranksOfGroup), zero) != "b");
-    CHECK(entry.groups.openElsewhere(service, backendHash(idOf("b", 0)), zero));
+    CHECK(entry.groups.hasOtherOpenGroup(service, backendHash(idOf("b", 0)), zero));
     // With the other groups closed or cut off there is nothing to go on with.
-    entry.groups.note({ { service, "a" }, { 1, false } }, milliseconds(0), zero);
+    entry.groups.mergeUpdate({ { service, "a" }, { 1, false } }, milliseconds(0), zero);
     for (int rank = 0; rank < 2; ++rank)
-        entry.groups.noteReach(service, backendHash(idOf("c", rank)), false, zero);
-    CHECK_FALSE(entry.groups.openElsewhere(service, backendHash(idOf("b", 0)), zero));
+        entry.groups.recordReachability(service, backendHash(idOf("c", rank)), false, zero);
+    CHECK_FALSE(entry.groups.hasOtherOpenGroup(service, backendHash(idOf("b", 0)), zero));
     CHECK(entry.retryAfterSilenceOf(idOf("b", 0), zero) == "b");
 }
--- a/Tests/platform/group-calls/test.cpp
+++ b/Tests/platform/group-calls/test.cpp
@@ -1,8 +1,8 @@
 // Guards against group calls that miss a rank or reach it twice, that need many messages from one
 // machine, or that lose time at unreachable agents, when agents forward them.
 #include "gateway/choice_codec.h"
-#include "policy/agent_reach.h"
 #include "policy/call_tree.h"
+#include "policy/reachability_tracker.h"
 
 #include <doctest/doctest.h>
 #include <numeric>
@@ -48,7 +48,7 @@
     CHECK(rc::check([] {
         auto all = targets(*rc::gen::inRange<std::size_t>(0, 400));
         for (auto& target : all)
-            target.reachability = *rc::gen::element(agent_trust::forwards, agent_trust::forwards, agent_trust::answers_only, agent_trust::unreachable);
+            target.reachability = *rc::gen::element(agent_reachability::forwards, agent_reachability::forwards, agent_reachability::answers_only, agent_reachability::unreachable);
         call_result result { std::vector<int>(all.size(), 0) };
         forward(all, 0, result);
         RC_ASSERT(std::all_of(result.times.begin(), result.times.end(), [](int times) { return times == 1; }));
@@ -71,30 +71,30 @@
     CHECK(rc::check([] {
         auto all = targets(60);
         for (int i = 0; i < 30; ++i)
-            all[*rc::gen::inRange<std::size_t>(0, 60)].reachability = *rc::gen::element(agent_trust::answers_only, agent_trust::unreachable);
+            all[*rc::gen::inRange<std::size_t>(0, 60)].reachability = *rc::gen::element(agent_reachability::answers_only, agent_reachability::unreachable);
         for (const auto& part : splitCall(all))
-            RC_ASSERT((part.front().reachability == agent_trust::forwards));
+            RC_ASSERT((part.front().reachability == agent_reachability::forwards));
     }));
 }
 
 TEST_CASE("an agent that does not answer delays one call, is bypassed for a while, and is then called again")
 {
-    agent_reach tracker;
-    CHECK((tracker.reachability("a", zero) == agent_trust::forwards));
+    reachability_tracker tracker;
+    CHECK((tracker.reachability("a", zero) == agent_reachability::forwards));
     tracker.record("a", false, zero);
-    CHECK((tracker.reachability("a", zero + milliseconds(699)) == agent_trust::unreachable));
-    CHECK((tracker.reachability("a", zero + milliseconds(700)) == agent_trust::answers_only));
+    CHECK((tracker.reachability("a", zero + milliseconds(699)) == agent_reachability::unreachable));
+    CHECK((tracker.reachability("a", zero + milliseconds(700)) == agent_reachability::answers_only));
     tracker.record("a", true, zero + milliseconds(700));
-    CHECK((tracker.reachability("a", zero + milliseconds(700)) == agent_trust::forwards));
+    CHECK((tracker.reachability("a", zero + milliseconds(700)) == agent_reachability::forwards));
 }
 
 TEST_CASE("a leader that polls each 0.2 s calls an unreachable agent again, though its engine answers meanwhile")
 {
-    agent_reach tracker;
+    reachability_tracker tracker;
     int calls = 0;
     for (int poll = 0; poll < 50; ++poll) {
         const instant now = zero + poll * milliseconds(200);
-        if (tracker.reachability("a", now) == agent_trust::unreachable)
+        if (tracker.reachability("a", now) == agent_reachability::unreachable)
             continue;
         ++calls;
         tracker.record("a", false, now + milliseconds(100));
--- a/Tests/platform/group-state/test.cpp
+++ b/Tests/platform/group-state/test.cpp
@@ -1,7 +1,7 @@
 // Guards against wrong states of expert groups: updates arrive in any order, confirmations stop, and
 // reports may be from an earlier incarnation or epoch.
-#include "policy/choice_counter.h"
-#include "policy/group_board.h"
+#include "policy/expert_choice_counter.h"
+#include "policy/group_directory.h"
 #include "policy/group_monitor.h"
 
 #include <doctest/doctest.h>
@@ -39,7 +39,7 @@
     CHECK(rc::check([] {
         std::vector<group_update> all { update(1, true), update(1, false), update(2, true), update(2, false), update(3, true) };
         const auto order = *rc::gen::container<std::vector<std::size_t>>(12, rc::gen::inRange<std::size_t>(0, all.size()));
-        group_board board(lifetime);
+        group_directory board(lifetime);
         std::size_t latest = 0;
         for (const auto index : order) {
             board.mergeUpdate(all[index], milliseconds(0), zero);
@@ -51,7 +51,7 @@
 
 TEST_CASE("a closed group that is not confirmed no longer counts as closed")
 {
-    group_board board(lifetime);
+    group_directory board(lifetime);
     board.mergeUpdate(update(1, false), milliseconds(0), zero);
     CHECK(board.closed("model", zero + lifetime - milliseconds(1)));
     CHECK_FALSE(board.closed("model", zero + lifetime));
@@ -60,7 +60,7 @@
 
 TEST_CASE("a service with one open group is open")
 {
-    group_board board(lifetime);
+    group_directory board(lifetime);
     board.mergeUpdate(update(1, false), milliseconds(0), zero);
     board.mergeUpdate({ { "model", "h" }, { 1, true } }, milliseconds(0), zero);
     CHECK_FALSE(board.closed("model", zero));
@@ -83,7 +83,7 @@
     held.heldStep = 50;
     monitor.observe({ "b", held, {} }, zero + milliseconds(700));
     CHECK((monitor.decide(zero + milliseconds(700)) == leader_task::none));
-    CHECK((monitor.decide(zero + milliseconds(700) + settings.strayLife) == leader_task::clean_up));
+    CHECK((monitor.decide(zero + milliseconds(700) + settings.strayHoldTimeout) == leader_task::clean_up));
 }
 
 TEST_CASE("a hold at a rank that was never observed before is cleaned up")
@@ -94,8 +94,8 @@
     auto held = viewOf(1);
     held.heldStep = 50;
     monitor.observe({ "frozen", held, {} }, zero);
-    CHECK((monitor.decide(zero + monitor_settings {}.strayLife) == leader_task::none));
-    CHECK((monitor.decide(zero + monitor_settings {}.strayLife * 2) == leader_task::clean_up));
+    CHECK((monitor.decide(zero + monitor_settings {}.strayHoldTimeout) == leader_task::none));
+    CHECK((monitor.decide(zero + monitor_settings {}.strayHoldTimeout * 2) == leader_task::clean_up));
 }
 
 TEST_CASE("a new epoch starts from placement 0")
@@ -110,18 +110,18 @@
         view.placementInUse = 300;
         monitor.observe({ std::to_string(rank), view, { 5, 5 } }, zero);
     }
-    CHECK((monitor.decide(zero) == leader_task::learn_placement));
+    CHECK((monitor.decide(zero) == leader_task::query_placement));
     monitor.setPlacement(300, initialPlacement(1, 2, 2));
     CHECK((monitor.decide(zero) == leader_task::none));
     for (std::uint32_t rank = 0; rank < 2; ++rank)
         monitor.observe({ std::to_string(rank), viewOf(rank, 2), { 5, 5 } }, zero);
-    CHECK((monitor.decide(zero) == leader_task::learn_placement));
+    CHECK((monitor.decide(zero) == leader_task::query_placement));
     CHECK(monitor.placementInUse() == 0);
 }
 
 TEST_CASE("a refusal by an engine with free slots closes its group until a later update shows it open")
 {
-    group_board board(milliseconds(1'500));
+    group_directory board(milliseconds(1'500));
     const instant start {};
     CHECK(!board.closed("drafts", start));
     board.recordRefusal("drafts", engine, start);
@@ -137,7 +137,7 @@
 
 TEST_CASE("a suspicion that is not confirmed expires")
 {
-    group_board board(milliseconds(1'500));
+    group_directory board(milliseconds(1'500));
     const instant start {};
     board.recordRefusal("drafts", engine, start);
     board.recordRefusal("drafts", engine, start + milliseconds(400));
@@ -148,7 +148,7 @@
 
 TEST_CASE("continued counts give the difference, counts that decreased have started again")
 {
-    choice_counter counter;
+    expert_choice_counter counter;
     CHECK(counter.countSinceLast({ 5, 7 }, 1).empty());
     CHECK(counter.countSinceLast({ 6, 9 }, 1) == std::vector<std::uint64_t> { 1, 2 });
     CHECK(counter.countSinceLast({ 3, 10 }, 1) == std::vector<std::uint64_t> { 3, 10 });
@@ -171,11 +171,11 @@
     };
     // Placement 0 assigns experts 0 and 2 to the first rank: expert 0 is most of the work.
     observeAll(1, { 9'000, 100, 100, 100 }, zero);
-    REQUIRE((monitor.decide(zero) == leader_task::learn_placement));
+    REQUIRE((monitor.decide(zero) == leader_task::query_placement));
     // Closed for six seconds with unchanged counts, then open in a new epoch.
     const instant later = zero + milliseconds(6'000);
     observeAll(2, { 0, 0, 0, 0 }, later);
-    REQUIRE((monitor.decide(later) == leader_task::learn_placement));
+    REQUIRE((monitor.decide(later) == leader_task::query_placement));
     monitor.setPlacement(0, initialPlacement(1, 4, 2));
     CHECK((monitor.decide(later) == leader_task::change_placement));
 }
@@ -199,7 +199,7 @@
 
 TEST_CASE("a refusal in one of several groups does not close the others")
 {
-    group_board board(milliseconds(1'500));
+    group_directory board(milliseconds(1'500));
     board.mergeUpdate({ { "model", "whole" }, { 1, true } }, milliseconds(0), zero);
     // 301 engines in groups of 63: the last group lacks ranks and never opens.
     board.mergeUpdate({ { "model", "short" }, { 0, false } }, milliseconds(0), zero);
@@ -232,10 +232,10 @@
 
 TEST_CASE("a group is known from its first update until it is forgotten")
 {
-    group_board board(lifetime);
-    CHECK_FALSE(board.heardOf("model", zero));
+    group_directory board(lifetime);
+    CHECK_FALSE(board.hasGroups("model", zero));
     board.mergeUpdate(update(1, false), milliseconds(0), zero);
-    CHECK(board.heardOf("model", zero));
-    CHECK_FALSE(board.heardOf("other", zero));
-    CHECK_FALSE(board.heardOf("model", zero + milliseconds(20'000)));
+    CHECK(board.hasGroups("model", zero));
+    CHECK_FALSE(board.hasGroups("other", zero));
+    CHECK_FALSE(board.hasGroups("model", zero + milliseconds(20'000)));
 }
--- a/Tests/platform/group-state/wait.cpp
+++ b/Tests/platform/group-state/wait.cpp
@@ -22,7 +22,7 @@
 {
     milliseconds at { 0 };
     for (int attempt = 0; attempt < 2; ++attempt) {
-        group_wait_question input;
+        group_wait_input input;
         input.timeLeft = waiting.deadline - at;
         input.patience = waiting.patience;
         input.run = waiting.run;
@@ -68,7 +68,7 @@
 
 TEST_CASE("a caller that can no longer get a complete answer is refused at once")
 {
-    group_wait_question input;
+    group_wait_input input;
     input.timeLeft = milliseconds(1'100);
     input.run = milliseconds(1'200);
     CHECK(decideGroupWait(input).wait == milliseconds(0));
@@ -78,7 +78,7 @@
 
 TEST_CASE("time that a caller spent at a server that refused counts against its patience")
 {
-    group_wait_question input;
+    group_wait_input input;
     input.timeLeft = milliseconds(6'500);
     input.waited = milliseconds(1'500);
     CHECK(decideGroupWait(input).wait == milliseconds(380));
@@ -95,7 +95,7 @@
 TEST_CASE("no caller waits beyond its patience or deadline, or gets a retry delay that it would not comply with")
 {
     CHECK(rc::check([] {
-        group_wait_question input;
+        group_wait_input input;
         input.timeLeft = milliseconds(*rc::gen::inRange(0, 10'000));
         input.waited = milliseconds(*rc::gen::inRange(0, 3'000));
         input.run = milliseconds(*rc::gen::inRange(0, 3'000));
@@ -109,7 +109,7 @@
 
 TEST_CASE("a caller that arrives when a group has been closed for long is refused at once with a retry delay")
 {
-    group_wait_question input;
+    group_wait_input input;
     input.timeLeft = milliseconds(8'000);
     input.run = milliseconds(1'500);
     input.closedFor = milliseconds(6'000);
--- a/Tests/platform/leadership/test.cpp
+++ b/Tests/platform/leadership/test.cpp
@@ -71,7 +71,7 @@
             const late_call call = m_calls.begin()->second;
             m_calls.erase(m_calls.begin());
             if (!m_dead[call.to])
-                m_agents[call.to].noteCalled(call.from, m_now);
+                m_agents[call.to].recordCall(call.from, m_now);
         }
         for (std::size_t i = 0; i < agents; ++i) {
             if (m_dead[i])
@@ -112,7 +112,7 @@
                 continue;
             const auto called = m_agents[queried].lastCall(m_now);
             if (called)
-                m_agents[querying].noteCalled(m_agents[queried].leader(), *called);
+                m_agents[querying].recordCall(m_agents[queried].leader(), *called);
         }
     }
 
--- a/Tests/platform/link-budget/test.cpp
+++ b/Tests/platform/link-budget/test.cpp
@@ -54,7 +54,7 @@
     call.set_leader("i-0e678589ac");
     call.set_group("assistant-llm-g0");
     for (std::size_t i = 0; i < targets; ++i)
-        addTargets(call, { { static_cast<std::uint32_t>(i), "i-0e678589ac", "10.105.64.25:8289", 0, agent_trust::good } });
+        addTargets(call, { { static_cast<std::uint32_t>(i), "i-0e678589ac", "10.105.64.25:8289", 0, agent_reachability::forwards } });
     return call.ByteSizeLong() + envelope;
 }
 
@@ -81,9 +81,9 @@
     return bytes;
 }
 
-look_plan planOf(const deployment& made)
+poll_plan planOf(const deployment& made)
 {
-    return planLooks({ made.agentMbps, made.ranks, made.layerSets * made.experts }, milliseconds(100));
+    return planPolls({ made.agentMbps, made.ranks, made.layerSets * made.experts }, milliseconds(100));
 }
 
 double shareOfLink(std::size_t bytes, milliseconds each, double mbps)
@@ -117,12 +117,12 @@
 TEST_CASE("looks at all ranks and the loads told take a third of the leader's link at the most")
 {
     for (const auto& made : { large, grown, threeGroups }) {
-        const look_plan plan = planOf(made);
+        const poll_plan plan = planOf(made);
         const std::size_t others = made.ranks - 1;
-        const auto looks = static_cast<std::size_t>(plan.looksPerCounts);
+        const auto looks = static_cast<std::size_t>(plan.pollsPerCounts);
         const std::size_t bytes = lookBytes(made, others, true) + (looks - 1) * lookBytes(made, others, false) + looks * made.zones * bytesOf(loadDatagrams(made));
-        CHECK(shareOfLink(bytes, plan.pause * plan.looksPerCounts, made.agentMbps) < 0.34);
-        CHECK(plan.pause * plan.looksPerCounts <= milliseconds(300));
+        CHECK(shareOfLink(bytes, plan.pause * plan.pollsPerCounts, made.agentMbps) < 0.34);
+        CHECK(plan.pause * plan.pollsPerCounts <= milliseconds(300));
         CHECK(plan.pause <= milliseconds(150));
     }
 }
--- a/Tests/platform/placement-ease/test.cpp
+++ b/Tests/platform/placement-ease/test.cpp
@@ -26,9 +26,9 @@
     settings.demand.layerSets = layerSets;
     settings.demand.experts = experts;
     settings.limits.slotsPerRank = 5;
-    settings.limits.newPerRank = 2;
-    settings.leastGain = 0.053;
-    settings.leastGainAtEase = gainWithHeadroom;
+    settings.limits.maxNewPerRank = 2;
+    settings.minGain = 0.053;
+    settings.minGainWithHeadroom = gainWithHeadroom;
     settings.costs = test::usualCosts();
     return settings;
 }
@@ -57,7 +57,7 @@
         const auto& shares = demand.shares();
         if (changing && now >= changing->first) {
             inUse = changing->second;
-            monitor.noteChanged(++number, inUse);
+            monitor.recordPlacementChange(++number, inUse);
             changing.reset();
         }
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
@@ -76,7 +76,7 @@
             for (const double share : set)
                 choices.push_back(static_cast<std::uint64_t>(share * choicesPerPoll));
         }
-        monitor.noteChoices(choices, now);
+        monitor.recordChoices(choices, now);
         const double skew = groupSkew(inUse, shares, rank_paces(ranks, 1));
         const double pass = passTime(test::usualCosts(), requestsPerRank, { skew, 1 }) * (changing ? 1.15 : 1);
         result.meanPass += pass;
@@ -84,12 +84,12 @@
         if (changing)
             continue;
         const auto task = monitor.decide(now);
-        if (task == leader_task::learn_placement)
+        if (task == leader_task::query_placement)
             monitor.setPlacement(number, inUse);
         if (task != leader_task::change_placement)
             continue;
         ++result.changes;
-        result.copies += static_cast<int>(allNewExperts(inUse, monitor.planned()));
+        result.copies += static_cast<int>(totalNewExperts(inUse, monitor.planned()));
         changing.emplace(now + changeTime, monitor.planned());
     }
     result.meanPass /= polls;
--- a/Tests/platform/placement-plan/test.cpp
+++ b/Tests/platform/placement-plan/test.cpp
@@ -41,14 +41,14 @@
                 const auto& old = before[set][rank];
                 added += std::find(old.begin(), old.end(), expert) == old.end() ? 1 : 0;
             }
-            if (held.size() > limits.slotsPerRank || distinct.size() != held.size() || added > limits.newPerSet)
+            if (held.size() > limits.slotsPerRank || distinct.size() != held.size() || added > limits.maxNewPerSet)
                 return false;
             present.insert(held.begin(), held.end());
         }
         if (present.size() != experts)
             return false;
     }
-    return mostNewExperts(before, after) <= limits.newPerRank;
+    return maxNewExperts(before, after) <= limits.maxNewPerRank;
 }
 
 } // namespace
@@ -58,7 +58,7 @@
     CHECK(rc::check([] {
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
         planner_limits limits;
-        limits.newPerRank = *rc::gen::inRange<std::size_t>(1, 6);
+        limits.maxNewPerRank = *rc::gen::inRange<std::size_t>(1, 6);
         const rank_paces usual(4, 1.0);
         group_placement placement = initialPlacement(2, 24, 4);
         for (int change = 0; change < 3; ++change) {
@@ -77,7 +77,7 @@
     const auto shares = skewedShares(4, 72, random);
     const auto before = initialPlacement(4, 72, 12);
     planner_limits limits;
-    limits.newPerRank = 3;
+    limits.maxNewPerRank = 3;
     const rank_paces usual(12, 1.0);
     const auto after = planPlacement(before, shares, usual, limits);
     CHECK(groupSkew(before, shares, usual) > 3);
@@ -111,8 +111,8 @@
     }
     planner_limits limits;
     limits.slotsPerRank = 3;
-    limits.newPerSet = 2;
-    limits.newPerRank = 29;
+    limits.maxNewPerSet = 2;
+    limits.maxNewPerRank = 29;
     const rank_paces usual(129, 1.0);
     const auto before = initialPlacement(16, 258, 129);
     const auto once = planPlacement(before, shares, usual, limits);
--- a/Tests/platform/server-limit/choice.cpp
+++ b/Tests/platform/server-limit/choice.cpp
@@ -30,7 +30,7 @@
 
     backend_directory backends;
     load_board loads { milliseconds(400) };
-    group_board groups { milliseconds(1'500) };
+    group_directory groups { milliseconds(1'500) };
     server_backpressure backpressure;
     upstream_question question;
     std::mt19937_64 random { 1 };
--- a/Tests/platform/several-groups/test.cpp
+++ b/Tests/platform/several-groups/test.cpp
@@ -1,6 +1,6 @@
 // Guards against mixing up the expert groups of one service: each has its own leader, opens and closes
 // on its own, and is chosen on its own.
-#include "policy/group_board.h"
+#include "policy/group_directory.h"
 #include "policy/group_monitor.h"
 #include "policy/group_roster.h"
 #include "policy/upstream_choice.h"
@@ -46,7 +46,7 @@
 struct fleet {
     backend_directory backends;
     load_board loads { milliseconds(600) };
-    group_board groups { lifetime };
+    group_directory groups { lifetime };
     server_backpressure backpressure;
     std::mt19937_64 random { 5 };
 };
@@ -59,7 +59,7 @@
         for (std::uint32_t rank = 0; rank < 4; ++rank) {
             const std::string id = idOf(group, rank);
             made.backends.list({ id, service, "10.0.0.1" + group + std::to_string(rank) + ":80", "z", 10, false, 1 });
-            made.groups.noteMember(backendHash(id), { service, group });
+            made.groups.recordMember(backendHash(id), { service, group });
         }
     }
 }
@@ -214,7 +214,7 @@
 
 TEST_CASE("groups of two services may have the same name")
 {
-    group_board board(lifetime);
+    group_directory board(lifetime);
     board.mergeUpdate({ { "model", "a" }, { 1, true } }, milliseconds(0), zero);
     board.mergeUpdate({ { "letters", "a" }, { 1, false } }, milliseconds(0), zero);
     CHECK_FALSE(board.closed("model", zero));
@@ -223,7 +223,7 @@
 
 TEST_CASE("a group that was formed again under another name does not keep its service open")
 {
-    group_board board(lifetime);
+    group_directory board(lifetime);
     board.mergeUpdate({ { service, "old" }, { 1, true } }, milliseconds(0), zero);
     const instant later = zero + milliseconds(10'000);
     board.mergeUpdate({ { service, "new" }, { 1, false } }, milliseconds(0), later);
--- a/Tests/platform/slow-group/test.cpp
+++ b/Tests/platform/slow-group/test.cpp
@@ -22,9 +22,9 @@
             for (int rank = 0; rank < ranksOfGroup; ++rank) {
                 const std::string id = group + std::to_string(rank);
                 backends.list({ id, service, "10.0." + group + "." + std::to_string(rank) + ":80", group, capacity, false, 1 });
-                groups.noteMember(backendHash(id), { service, group });
+                groups.recordMember(backendHash(id), { service, group });
             }
-            groups.note({ { service, group }, { 1, true } }, milliseconds(0), zero);
+            groups.mergeUpdate({ { service, group }, { 1, true } }, milliseconds(0), zero);
         }
     }
 
@@ -55,7 +55,7 @@
 
     backend_directory backends;
     load_board loads { milliseconds(600) };
-    group_board groups { milliseconds(1'500) };
+    group_directory groups { milliseconds(1'500) };
     std::mt19937_64 random { 5 };
 };
 
@@ -66,7 +66,7 @@
     fleet made;
     for (const std::string group : { "a", "b", "c" })
         made.setRequests(group, 4);
-    made.groups.noteStrain({ service, "a" }, { 1.2, 5 }, zero);
+    made.groups.recordSlowdown({ service, "a" }, { 1.2, 5 }, zero);
     CHECK(made.choices(milliseconds(150))["a"] == 0);
     // Where callers accept any pause it is as good as the others.
     CHECK(made.choices(milliseconds(0))["a"] > 50);
@@ -79,8 +79,8 @@
 TEST_CASE("a group in which demand has just shifted gets what it can run in time")
 {
     fleet made;
-    const group_strain shifted { 3, 1 };
-    made.groups.noteStrain({ service, "a" }, shifted, zero);
+    const group_slowdown shifted { 3, 1 };
+    made.groups.recordSlowdown({ service, "a" }, shifted, zero);
     const int limit = sequencesToRun(test::usualCosts(), shifted, milliseconds(135));
     REQUIRE(limit > 1);
     REQUIRE(limit < capacity);
--- a/Tests/platform/start-of-all/test.cpp
+++ b/Tests/platform/start-of-all/test.cpp
@@ -61,7 +61,7 @@
     platform::item_decoder decoder;
     fleet_state state { context, log, decoder, milliseconds(0) };
     load_board loads { milliseconds(400) };
-    group_board groups { milliseconds(1'500) };
+    group_directory groups { milliseconds(1'500) };
     crash_history history;
     server_backpressure backpressure;
     upstream_dispatcher dispatcher { context, log, codec, state, loads, groups, history, backpressure, retry_bounds {} };
--- a/Tests/platform/upstream-choice/fleet_model.cpp
+++ b/Tests/platform/upstream-choice/fleet_model.cpp
@@ -14,7 +14,7 @@
 
     struct entry_vm {
         load_board loads { milliseconds(400) };
-        group_board groups { milliseconds(1'500) };
+        group_directory groups { milliseconds(1'500) };
         server_backpressure backpressure;
     };
 
--- a/Tests/platform/upstream-choice/test.cpp
+++ b/Tests/platform/upstream-choice/test.cpp
@@ -13,7 +13,7 @@
 struct fleet {
     backend_directory backends;
     load_board loads { milliseconds(600) };
-    group_board groups { milliseconds(1'500) };
+    group_directory groups { milliseconds(1'500) };
     server_backpressure backpressure;
     std::mt19937_64 random { 5 };
 };
