--- a/Source/policy/backend_directory.cpp
+++ b/Source/policy/backend_directory.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-    // Weight of the newest try in the share of failures: about the last eight tries count.
-    constexpr double newestTryWeight = 0.12;
-    // A server that fails more than this share of its tries is left alone for a while.
-    // Below it a second try costs less than the capacity that would be lost.
-    constexpr double tooManyFailures = 0.22;
-    // A trial after this long finds a server that has recovered; measured faults last seconds.
+    // Weight of the latest attempt in the failure share: about the last eight attempts count.
+    constexpr double latestAttemptWeight = 0.12;
+    // A server with a higher failure share is avoided for a while. Below it, retries cost less
+    // than the capacity that would be lost.
+    constexpr double maxFailureShare = 0.22;
+    // After this time a failing server is tried again; observed faults last seconds.
     constexpr milliseconds failingPause { 1'500 };
-    // A refused or timed-out connection: first and longest pause, doubled in between.
+    // Pause after a refused or timed-out connection, doubled from the first to the longest.
     constexpr milliseconds firstUnreachablePause { 250 };
     constexpr milliseconds longestUnreachablePause { 2'000 };
     constexpr milliseconds silentPause { 1'500 };
     constexpr milliseconds refusedPause { 40 };
 
-    milliseconds unreachablePause(int inRow)
+    milliseconds unreachablePause(int failuresInRow)
     {
         auto pause = firstUnreachablePause;
-        for (int i = 1; i < inRow && pause < longestUnreachablePause; ++i)
+        for (int i = 1; i < failuresInRow && pause < longestUnreachablePause; ++i)
             pause *= 2;
         return std::min(pause, longestUnreachablePause);
     }
 
-    // Entries lapse and come back; a server that leaves and is missing for longer has gone.
-    constexpr milliseconds leavingMemory { 600'000 };
+    // Entries may lapse and be listed again, so a leaving server is remembered for this long after it was last listed.
+    constexpr milliseconds leavingRetention { 600'000 };
 
     const backend_health unknownHealth;
 
@@ -36,19 +36,20 @@
 
 bool backend_directory::list(const listed_backend& listed)
 {
-    auto& held = m_entries[listed.id];
-    const std::string addressBefore = held.listed.address;
-    // Not only a higher one: clocks of two starts may differ, the list's order does not.
-    const bool restarted = held.listed.incarnation != 0 && listed.incarnation != held.listed.incarnation;
+    auto& known = m_entries[listed.id];
+    const std::string addressBefore = known.listed.address;
+    // Any other incarnation counts, not only a higher one: the clock may have been set back
+    // between two starts, but list entries arrive in order.
+    const bool restarted = known.listed.incarnation != 0 && listed.incarnation != known.listed.incarnation;
     if (restarted) {
-        held = {};
+        known = {};
         m_leaving.erase(listed.id);
     }
-    held.listed = listed;
-    held.keptUntil.reset();
-    noteNewestAt(listed.address);
+    known.listed = listed;
+    known.keptUntil.reset();
+    updateNewestAt(listed.address);
     if (!addressBefore.empty() && addressBefore != listed.address)
-        noteNewestAt(addressBefore);
+        updateNewestAt(addressBefore);
     return restarted;
 }
 
@@ -56,10 +57,10 @@
 {
     m_services = std::move(services);
     std::set<std::string> addresses;
-    for (const auto& [id, held] : m_entries)
-        addresses.insert(held.listed.address);
+    for (const auto& [id, known] : m_entries)
+        addresses.insert(known.listed.address);
     for (const auto& address : addresses)
-        noteNewestAt(address);
+        updateNewestAt(address);
 }
 
 bool backend_directory::serves(const listed_backend& listed) const
@@ -67,66 +68,67 @@
     return !m_services || m_services->contains(listed.service);
 }
 
-// After an entry has gone, an older one at its address counts again. One that is only kept is of
-// an earlier listing, after which a restored store gives out its revisions again: until the doubt
-// ended (2 s, and 5 s at an agent) it would have kept out the server that is listed there.
-void backend_directory::noteNewestAt(const std::string& address)
+// When an entry is removed, an older one at its address becomes valid again. Entries that are
+// missing from the list do not count: a restored store reuses revision numbers, so the higher
+// creation revision of a missing entry would shut out the server that is now listed at its address
+// until the missing one is dropped (after 2 s, 5 s at an agent).
+void backend_directory::updateNewestAt(const std::string& address)
 {
     m_newestAt.erase(address);
-    for (const auto& [id, held] : m_entries) {
-        if (held.listed.address == address && serves(held.listed) && !held.keptUntil) {
+    for (const auto& [id, known] : m_entries) {
+        if (known.listed.address == address && serves(known.listed) && !known.keptUntil) {
             auto& newest = m_newestAt[address];
-            newest = std::max(newest, held.listed.createdAt);
+            newest = std::max(newest, known.listed.createdAt);
         }
     }
 }
 
 void backend_directory::unlist(const std::string& id, instant now, instant keepUntil)
 {
-    const auto held = m_entries.find(id);
-    if (held == m_entries.end())
+    const auto known = m_entries.find(id);
+    if (known == m_entries.end())
         return;
-    const instant until = std::max(keepUntil, now + m_lapsedLife);
-    if (now >= until || held->second.listed.draining) {
+    const instant until = std::max(keepUntil, now + m_lapsedRetention);
+    if (now >= until || known->second.listed.draining) {
         remove(id);
         return;
     }
-    held->second.keptUntil = until;
-    noteNewestAt(held->second.listed.address);
+    known->second.keptUntil = until;
+    updateNewestAt(known->second.listed.address);
 }
 
 void backend_directory::keepNoLongerThan(instant until)
 {
-    if (m_lapsedLife > milliseconds(0))
+    if (m_lapsedRetention > milliseconds(0))
         return;
-    for (auto& [id, held] : m_entries) {
-        if (held.keptUntil)
-            held.keptUntil = std::min(*held.keptUntil, until);
+    for (auto& [id, known] : m_entries) {
+        if (known.keptUntil)
+            known.keptUntil = std::min(*known.keptUntil, until);
     }
 }
 
 void backend_directory::remove(const std::string& id)
 {
-    const auto held = m_entries.find(id);
-    if (held == m_entries.end())
+    const auto known = m_entries.find(id);
+    if (known == m_entries.end())
         return;
-    const std::string address = held->second.listed.address;
-    m_entries.erase(held);
-    noteNewestAt(address);
+    const std::string address = known->second.listed.address;
+    m_entries.erase(known);
+    updateNewestAt(address);
 }
 
-void backend_directory::settle(instant now)
+void backend_directory::removeExpired(instant now)
 {
     std::vector<std::string> expired;
-    for (const auto& [id, held] : m_entries) {
-        if (held.keptUntil && now >= *held.keptUntil)
+    for (const auto& [id, known] : m_entries) {
+        if (known.keptUntil && now >= *known.keptUntil)
             expired.push_back(id);
     }
     for (const auto& id : expired)
         remove(id);
     for (auto& [id, seenAt] : m_leaving)
         seenAt = m_entries.contains(id) ? now : seenAt;
-    std::erase_if(m_leaving, [now](const auto& held) { return now - held.second >= leavingMemory; });
+    std::erase_if(m_leaving, [now](const auto& known) { return now - known.second >= leavingRetention; });
 }
 
 bool backend_directory::noteLeaving(const std::string& id, instant now)
@@ -136,12 +138,12 @@
 
 void backend_directory::noteResult(const std::string& id, try_result result, instant now)
 {
-    const auto held = m_entries.find(id);
-    if (held == m_entries.end())
+    const auto known = m_entries.find(id);
+    if (known == m_entries.end())
         return;
-    auto& health = held->second.health;
+    auto& health = known->second.health;
     const bool failed = result != try_result::answered && result != try_result::refused;
-    health.failureShare += newestTryWeight * ((failed ? 1.0 : 0.0) - health.failureShare);
+    health.failureShare += latestAttemptWeight * ((failed ? 1.0 : 0.0) - health.failureShare);
     health.unreachableInRow = result == try_result::unreachable ? health.unreachableInRow + 1 : 0;
     switch (result) {
     case try_result::answered:
@@ -156,24 +158,24 @@
         health.avoidedUntil = std::max(health.avoidedUntil, now + silentPause);
         break;
     case try_result::failed:
-        if (health.failureShare > tooManyFailures)
+        if (health.failureShare > maxFailureShare)
             health.avoidedUntil = std::max(health.avoidedUntil, now + failingPause);
         break;
     case try_result::replaced:
-        held->second.replaced = true;
+        known->second.replaced = true;
         break;
     }
 }
 
-bool backend_directory::open(const std::string& id) const
+bool backend_directory::acceptsWork(const std::string& id) const
 {
-    const auto held = m_entries.find(id);
-    if (held == m_entries.end() || held->second.listed.draining || held->second.replaced || m_leaving.contains(id))
+    const auto known = m_entries.find(id);
+    if (known == m_entries.end() || known->second.listed.draining || known->second.replaced || m_leaving.contains(id))
         return false;
-    const auto newest = m_newestAt.find(held->second.listed.address);
+    const auto newest = m_newestAt.find(known->second.listed.address);
     if (newest == m_newestAt.end())
         return true;
-    return !held->second.keptUntil && held->second.listed.createdAt >= newest->second;
+    return !known->second.keptUntil && known->second.listed.createdAt >= newest->second;
 }
 
 bool backend_directory::avoided(const std::string& id, instant now) const
@@ -183,31 +185,31 @@
 
 const backend_health& backend_directory::health(const std::string& id) const
 {
-    const auto held = m_entries.find(id);
-    return held == m_entries.end() ? unknownHealth : held->second.health;
+    const auto known = m_entries.find(id);
+    return known == m_entries.end() ? unknownHealth : known->second.health;
 }
 
 const listed_backend* backend_directory::find(const std::string& id) const
 {
-    const auto held = m_entries.find(id);
-    return held == m_entries.end() ? nullptr : &held->second.listed;
+    const auto known = m_entries.find(id);
+    return known == m_entries.end() ? nullptr : &known->second.listed;
 }
 
 const listed_backend* backend_directory::findByAddress(const std::string& address) const
 {
-    for (const auto& [id, held] : m_entries) {
-        if (held.listed.address == address && open(id))
-            return &held.listed;
+    for (const auto& [id, known] : m_entries) {
+        if (known.listed.address == address && acceptsWork(id))
+            return &known.listed;
     }
     return nullptr;
 }
 
 const listed_backend* backend_directory::findByHost(const std::string& host, const std::string& service) const
 {
-    for (const auto& [id, held] : m_entries) {
-        const auto& address = held.listed.address;
-        if (held.listed.service == service && address.substr(0, address.rfind(':')) == host && open(id))
-            return &held.listed;
+    for (const auto& [id, known] : m_entries) {
+        const auto& address = known.listed.address;
+        if (known.listed.service == service && address.substr(0, address.rfind(':')) == host && acceptsWork(id))
+            return &known.listed;
     }
     return nullptr;
 }
@@ -215,8 +217,8 @@
 std::vector<std::string> backend_directory::pool(const std::string& service) const
 {
     std::vector<std::string> ids;
-    for (const auto& [id, held] : m_entries) {
-        if (held.listed.service == service && open(id))
+    for (const auto& [id, known] : m_entries) {
+        if (known.listed.service == service && acceptsWork(id))
             ids.push_back(id);
     }
     return ids;
--- a/Source/policy/backend_directory.h
+++ b/Source/policy/backend_directory.h
@@ -1,4 +1,4 @@
-// The backend servers that are listed, and what this process found out about each.
+// The listed backend servers and this process's observations of each.
 #pragma once
 
 #include "policy/verdict.h"
@@ -12,7 +12,7 @@
 
 namespace rampgap {
 
-// A backend server as the users' list shows it.
+// A backend server as the users' metadata store lists it.
 struct listed_backend {
     std::string id;
     std::string service;
@@ -20,96 +20,98 @@
     std::string zone;
     int capacity = 1;
     bool draining = false;
-    // Revision at which the entry was created: of two with one address the newer one lives.
+    // Store revision at which the entry was created. Of two entries with one address only the newer is valid.
     std::uint64_t createdAt = 0;
-    // Start of the server's process in Unix milliseconds; 0 where the list does not tell. A
-    // server may be started again under its id, and then knows nothing of before.
+    // Start of the server's process in Unix milliseconds; 0 if the list does not say. A server
+    // may be restarted under its id and has no state of its previous run then.
     std::uint64_t incarnation = 0;
 
     bool operator==(const listed_backend&) const = default;
 };
 
-// How one try on a backend server ended, as far as it says something about that server.
+// Outcome of one attempt on a backend server, as far as it says something about that server.
 enum class try_result {
     answered,
-    // It said that it had no room.
+    // It reported that it had no capacity left.
     refused,
-    // Nothing could be handed over.
+    // The request could not be delivered.
     unreachable,
-    // It took the request and failed, broke off or answered what cannot be read.
+    // It accepted the request, then failed, closed the connection or sent a malformed answer.
     failed,
-    // It took the request and stayed silent.
+    // It accepted the request and did not answer in time.
     silent,
-    // Another server has its address.
+    // Another server now uses its address.
     replaced,
 };
 
 struct backend_health {
-    // Share of tries that failed, recent ones first.
+    // Share of attempts that failed; recent ones weigh more.
     double failureShare = 0;
     int unreachableInRow = 0;
-    // Nothing is sent there before this, unless nothing else is left.
+    // The server is not chosen before this time unless no other is available.
     instant avoidedUntil {};
 };
 
 class backend_directory {
 public:
-    // `lapsedLife`: how long an entry that went without leaving is kept at the least. 0 for
-    // whoever sends requests; longer for whoever only keeps in touch with the server.
-    explicit backend_directory(milliseconds lapsedLife = milliseconds(0))
-        : m_lapsedLife(lapsedLife)
+    // `lapsedRetention`: minimum time for which an entry is kept that vanished from the list while
+    // its server was not draining. 0 in a process that sends requests; longer in one that only
+    // stays in contact with the server.
+    explicit backend_directory(milliseconds lapsedRetention = milliseconds(0))
+        : m_lapsedRetention(lapsedRetention)
     {
     }
 
-    // True if the server was listed before in an earlier incarnation, of which nothing holds
-    // any more: its health is unknown again.
+    // Adds or updates an entry. True if the server was listed with another incarnation before;
+    // everything recorded about that one is discarded.
     bool list(const listed_backend&);
-    // The services that the configuration names. An entry of another service may come from
-    // anyone: it takes no address from a server. Before the first call all services count.
+    // Sets the services of the configuration. An entry of another service may come from anyone, so
+    // it takes no address over from a server. Before the first call all services count.
     void setServices(std::set<std::string>);
-    // `keepUntil`: until then the entry may only have lapsed in an outage and come back.
+    // The entry is missing from the list. It is kept until `keepUntil`, since it may merely have
+    // lapsed in an outage and be listed again.
     void unlist(const std::string& id, instant now, instant keepUntil);
-    // Entries that are missing are not kept beyond `until`, unless they are for `lapsedLife`.
+    // Keeps missing entries no longer than until `until`; no effect if `lapsedRetention` is set.
     void keepNoLongerThan(instant until);
     // Forgets a server at once, if it is known.
     void remove(const std::string& id);
-    // Drops what has not come back.
-    void settle(instant now);
+    // Drops the missing entries whose retention has ended.
+    void removeExpired(instant now);
 
-    // The server itself said that it leaves: it gets nothing more in this life, whatever the list
-    // says of it. True if that is new.
+    // The server itself announced that it is leaving: it gets no more requests in this incarnation,
+    // whatever the list says. True if this was not known yet.
     bool noteLeaving(const std::string& id, instant now);
     void noteResult(const std::string& id, try_result, instant now);
 
-    // May get new work: listed, not leaving, and not replaced by a newer one at its address.
-    bool open(const std::string& id) const;
+    // True if it may get new requests: listed, not leaving, and not replaced by a newer entry at its address.
+    bool acceptsWork(const std::string& id) const;
     bool avoided(const std::string& id, instant now) const;
     const backend_health& health(const std::string& id) const;
     const listed_backend* find(const std::string& id) const;
     const listed_backend* findByAddress(const std::string& address) const;
-    // The open server of a service on a machine.
+    // The server of a service on a machine, if it accepts work.
     const listed_backend* findByHost(const std::string& host, const std::string& service) const;
-    // Ids of the servers of a service that are open, in a fixed order.
+    // Ids of the servers of a service that accept work, in a fixed order.
     std::vector<std::string> pool(const std::string& service) const;
 
 private:
     struct entry {
         listed_backend listed;
         backend_health health;
-        // Set while it is missing from the list, but may come back.
+        // Set while it is missing from the list but may be listed again.
         std::optional<instant> keptUntil;
         bool replaced = false;
     };
 
     bool serves(const listed_backend&) const;
-    void noteNewestAt(const std::string& address);
+    void updateNewestAt(const std::string& address);
 
-    milliseconds m_lapsedLife;
+    milliseconds m_lapsedRetention;
     std::map<std::string, entry> m_entries;
-    // Servers that said that they leave, and when each was last listed or said so.
+    // Servers that announced that they are leaving, and when each was last listed or announced it.
     std::map<std::string, instant> m_leaving;
     std::optional<std::set<std::string>> m_services;
-    // Highest creation revision of the listed entries with an address.
+    // For each address the highest creation revision of its listed entries.
     std::map<std::string, std::uint64_t> m_newestAt;
 };
 
--- a/Source/policy/backend_table.cpp
+++ b/Source/policy/backend_table.cpp
@@ -9,13 +9,13 @@
 
     constexpr milliseconds firstSuspicion { 500 };
     constexpr int maxSuspicionDoublings = 5;
-    // An agent says "leaving" for its own stop; a restarted one is tried again after this.
-    constexpr milliseconds leavingLife { 2'000 };
+    // An agent that stops reports "leaving"; after this time a restarted one is tried again.
+    constexpr milliseconds leavingDuration { 2'000 };
     constexpr milliseconds slowStart { 5'000 };
     constexpr double slowStartFactor = 3;
     constexpr double defaultRunMs = 400;
-    // A report of others' load is worth half after this time: many entry VMs that act on
-    // the same old report all go to the same backend.
+    // After this time a report of others' load counts half: many entry VMs that act on the same
+    // old report would all choose the same backend.
     constexpr std::chrono::duration<double> reportHalfLife { 0.05 };
     constexpr double meanWeight = 0.05;
 
@@ -38,13 +38,13 @@
     }
     const bool first = m_views.empty();
     for (const auto& declared : current.backends()) {
-        const auto [place, added] = m_ids.try_emplace(declared.name, static_cast<backend_id>(m_views.size()));
+        const auto [position, added] = m_ids.try_emplace(declared.name, static_cast<backend_id>(m_views.size()));
         if (added) {
             m_views.emplace_back();
-            // All are new to an entry VM that starts: only later ones start slowly.
+            // All backends are new to an entry VM that starts: slow start is for those added later.
             m_views.back().joinedAt = first ? now - slowStart : now;
         }
-        const backend_id id = place->second;
+        const backend_id id = position->second;
         backend_view& view = m_views[id];
         if (view.address != declared.address && !added)
             view.state = backend_state::up;
@@ -123,7 +123,7 @@
     if (view.state == backend_state::stopped || view.suspectUntil == instant::max())
         return;
     view.state = backend_state::leaving;
-    view.suspectUntil = now + leavingLife;
+    view.suspectUntil = now + leavingDuration;
 }
 
 void backend_table::notePause(backend_id id, milliseconds pause, instant now)
@@ -180,23 +180,23 @@
 {
     const backend_view& view = m_views[id];
     const double reported = std::max(0, view.load.running + view.load.queued - view.ownAtReport);
-    const double fresh = std::exp2(-std::chrono::duration<double>(now - view.reportedAt) / reportHalfLife);
-    return view.ownInFlight + fresh * reported + (1 - fresh) * m_meanOthers;
+    const double reportWeight = std::exp2(-std::chrono::duration<double>(now - view.reportedAt) / reportHalfLife);
+    return view.ownInFlight + reportWeight * reported + (1 - reportWeight) * m_meanOthers;
 }
 
 double backend_table::predictedWaitMs(backend_id id, instant now) const
 {
     const backend_view& view = m_views[id];
     const double run = view.load.averageRunMs > 0 ? view.load.averageRunMs : defaultRunMs;
-    const double there = outstanding(id, now);
-    const double busy = there / view.slots;
-    const double queueing = std::max(0.0, there + 1 - view.slots) * run / view.slots;
-    // A filled batch slows each step, so a part of the run counts before the queue does.
-    double wait = queueing + run * busy * 0.25;
+    const double outstandingRequests = outstanding(id, now);
+    const double utilization = outstandingRequests / view.slots;
+    const double queueing = std::max(0.0, outstandingRequests + 1 - view.slots) * run / view.slots;
+    // A fuller batch slows each step, so part of the run time counts even while no queue forms.
+    double wait = queueing + run * utilization * 0.25;
     const duration age = now - view.joinedAt;
     if (age < slowStart) {
-        const double youth = 1 - std::chrono::duration<double>(age) / std::chrono::duration<double>(slowStart);
-        wait = (wait + run * 0.25) * (1 + slowStartFactor * youth);
+        const double slowStartLeft = 1 - std::chrono::duration<double>(age) / std::chrono::duration<double>(slowStart);
+        wait = (wait + run * 0.25) * (1 + slowStartFactor * slowStartLeft);
     }
     return wait;
 }
--- a/Source/policy/backend_table.h
+++ b/Source/policy/backend_table.h
@@ -39,7 +39,7 @@
     instant suspectUntil;
     int failuresInRow = 0;
     instant failingSince;
-    // Its engine takes nothing before this.
+    // Its engine accepts no requests before this time.
     instant pausedUntil {};
     instant joinedAt;
     int ownInFlight = 0;
@@ -52,27 +52,27 @@
 public:
     explicit backend_table(std::string zone);
 
-    // Adds, changes and retires backends; ids stay the same for a name.
+    // Adds, updates and retires backends; a name keeps its id.
     void apply(const declaration&, instant now);
-    // The platform's list names VMs that are leaving.
+    // Takes the VMs out of service that the platform's list reports as leaving.
     void noteListedLeaving(const std::vector<std::string>& names);
 
     void noteSent(backend_id);
-    // An agent answered, with whatever verdict. `madeAt` is when its report was made.
+    // An agent answered, with any verdict. `madeAt` is when it made its load report.
     void noteAnswered(backend_id, const load_report&, instant madeAt);
-    // The backend took a request: whatever was suspected of it is over.
+    // The backend accepted a request, so it is neither unreachable nor leaving.
     void noteServed(backend_id);
     void noteConnectFailed(backend_id, instant now);
     void noteLeaving(backend_id, instant now);
-    // Its engine takes nothing more for so long.
+    // Its engine accepts no requests for this long.
     void notePause(backend_id, milliseconds, instant now);
     void noteEnded(backend_id);
 
-    // May new work go there: up, or suspect past its time, and not leaving.
+    // True if new requests may be sent there: it is up, or its time as suspect or leaving is over.
     bool usable(backend_id, instant now) const;
-    // True unless an operator or the platform's list took it out.
+    // True unless an operator or the platform's list has taken it out of service.
     bool mayBeBack(backend_id) const;
-    // Since when every connection failed; `fallback` if the last one did not.
+    // Since when every connection attempt has failed; `fallback` if the last one succeeded.
     instant failingSince(backend_id, instant fallback) const;
     const backend_view& view(backend_id id) const { return m_views[id]; }
     std::size_t size() const { return m_views.size(); }
@@ -81,10 +81,10 @@
     const std::vector<backend_id>& pool(const std::string& service) const;
     const std::vector<backend_id>& zonePool(const std::string& service) const;
 
-    // Requests that wait or run there: our own exactly, those of others by the last report
-    // while it is fresh and by the pool's average once it is old.
+    // Requests queued or running there: the exact number of our own, plus an estimate of those of
+    // other VMs that shifts from the last report to the average over all backends as the report ages.
     double outstanding(backend_id, instant now) const;
-    // Predicted wait to a start, in milliseconds.
+    // Predicted time until a new request starts there, in milliseconds.
     double predictedWaitMs(backend_id, instant now) const;
 
 private:
@@ -93,7 +93,7 @@
     std::unordered_map<std::string, backend_id> m_ids;
     std::unordered_map<std::string, std::vector<backend_id>> m_pools;
     std::unordered_map<std::string, std::vector<backend_id>> m_zonePools;
-    // Average of what other entry VMs have at a backend.
+    // Average number of requests that other entry VMs have at a backend.
     double m_meanOthers = 0;
 };
 
--- a/Source/policy/load_board.cpp
+++ b/Source/policy/load_board.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // From an engine's count to its arrival here: an agent looks each 100 ms, a leader tells
-    // each 150 ms. Requests sent since then are not in the count.
+    // Age of an engine's count on its arrival here: an agent polls its engine every 100 ms, a
+    // leader publishes every 150 ms. Requests sent since then are not in the count.
     constexpr milliseconds countLag { 200 };
 
 } // namespace
@@ -23,8 +23,8 @@
     return XXH32(id.data(), id.size(), 0);
 }
 
-load_board::load_board(milliseconds reportLife)
-    : m_reportLife(reportLife)
+load_board::load_board(milliseconds reportLifetime)
+    : m_reportLifetime(reportLifetime)
 {
 }
 
@@ -39,7 +39,7 @@
     load.unreadTokens += promptTokens;
 }
 
-void load_board::noteBegun(const std::string& id, std::int64_t promptTokens)
+void load_board::recordFirstByte(const std::string& id, std::int64_t promptTokens)
 {
     m_own[id].unreadTokens -= promptTokens;
 }
@@ -64,7 +64,7 @@
         m_ranks[hash] = { load.requests, load.pace, now };
 }
 
-int load_board::sentLately(const std::string& id, instant now) const
+int load_board::sentRecently(const std::string& id, instant now) const
 {
     const auto sent = m_sent.find(id);
     if (sent == m_sent.end())
@@ -79,8 +79,8 @@
 
 backend_load load_board::own(const std::string& id) const
 {
-    const auto held = m_own.find(id);
-    return held == m_own.end() ? backend_load {} : held->second;
+    const auto found = m_own.find(id);
+    return found == m_own.end() ? backend_load {} : found->second;
 }
 
 backend_load load_board::total(const std::string& id, instant now) const
@@ -88,14 +88,14 @@
     backend_load sum = own(id);
     const std::uint32_t hash = backendHash(id);
     const auto counted = m_ranks.find(hash);
-    if (counted != m_ranks.end() && now - counted->second.at < m_reportLife) {
-        sum.requests = std::max(sum.requests, counted->second.requests + sentLately(id, now));
+    if (counted != m_ranks.end() && now - counted->second.at < m_reportLifetime) {
+        sum.requests = std::max(sum.requests, counted->second.requests + sentRecently(id, now));
         sum.pace = counted->second.pace;
         return sum;
     }
     for (const auto& [peer, report] : m_peers) {
         const auto load = report.loads.find(hash);
-        if (load != report.loads.end() && now - report.at < m_reportLife)
+        if (load != report.loads.end() && now - report.at < m_reportLifetime)
             sum = sum + load->second;
     }
     return sum;
--- a/Source/policy/load_board.h
+++ b/Source/policy/load_board.h
@@ -1,4 +1,4 @@
-// Work in progress at each backend server: our own exactly, that of peers as they told.
+// Work in progress at each backend server: an exact count of our own, that of peers as reported.
 #pragma once
 
 #include "policy/verdict.h"
@@ -13,41 +13,41 @@
 
 // Work that one process has at a backend server.
 struct backend_load {
-    // Requests that were sent and are not answered to the end.
+    // Requests that were sent and are not fully answered.
     int requests = 0;
-    // Prompt tokens of those whose first answer byte has not come.
+    // Prompt tokens of those whose first answer byte has not arrived.
     std::int64_t unreadTokens = 0;
-    // How much longer than usual the server takes for the same work.
+    // Factor by which the server takes longer than usual for the same work.
     double pace = 1;
 
     backend_load operator+(const backend_load&) const;
     bool operator==(const backend_load&) const = default;
 };
 
-// Loads by the hash of the server's id, as they travel between processes.
+// Loads by the hash of the server's id, as processes send them to each other.
 using load_report_by_hash = std::map<std::uint32_t, backend_load>;
 
 std::uint32_t backendHash(const std::string& id);
 
-// Reports of work come every 100 ms; after three lost ones they say nothing.
+// Load reports arrive every 100 ms; the last one expires when three further ones are lost.
 inline constexpr milliseconds loadReportLife { 400 };
 
 class load_board {
 public:
-    // Reports older than `reportLife` no longer count.
-    explicit load_board(milliseconds reportLife);
+    // Reports older than `reportLifetime` are ignored.
+    explicit load_board(milliseconds reportLifetime);
 
     void noteSent(const std::string& id, std::int64_t promptTokens, instant now);
-    // The first byte of the answer came: the prompt is read.
-    void noteBegun(const std::string& id, std::int64_t promptTokens);
+    // The first byte of the answer arrived: the prompt has been processed.
+    void recordFirstByte(const std::string& id, std::int64_t promptTokens);
     void noteEnded(const std::string& id, std::int64_t unreadTokens);
     void notePeer(const std::string& peer, load_report_by_hash, instant now);
     void forgetPeer(const std::string& peer);
-    // Requests at each rank as the engines themselves count them.
+    // Requests at each rank, as counted by the engines themselves.
     void noteRanks(const load_report_by_hash&, instant now);
 
-    // True if a leader has ever counted this server among the ranks of its group.
-    bool counted(const std::string& id) const { return m_ranks.contains(backendHash(id)); }
+    // True if a leader has ever reported this server as a rank of its group.
+    bool isKnownRank(const std::string& id) const { return m_ranks.contains(backendHash(id)); }
 
     backend_load own(const std::string& id) const;
     backend_load total(const std::string& id, instant now) const;
@@ -66,9 +66,9 @@
         instant at;
     };
 
-    int sentLately(const std::string& id, instant now) const;
+    int sentRecently(const std::string& id, instant now) const;
 
-    milliseconds m_reportLife;
+    milliseconds m_reportLifetime;
     std::map<std::string, backend_load> m_own;
     std::map<std::string, std::deque<instant>> m_sent;
     std::map<std::uint32_t, rank_count> m_ranks;
--- a/Source/policy/prefix_table.cpp
+++ b/Source/policy/prefix_table.cpp
@@ -26,45 +26,45 @@
     return m_entries[prefix % entryCount];
 }
 
-void prefix_table::note(std::uint64_t prefix, backend_id backend, instant now)
+void prefix_table::record(std::uint64_t prefix, backend_id backend, instant now)
 {
-    entry& place = slot(prefix);
-    if (place.prefix != prefix)
-        place = { prefix, { noBackend, noBackend }, {} };
-    // The older of the two gives way, unless the backend stands there already.
-    std::size_t way = place.seen[0] <= place.seen[1] ? 0 : 1;
+    entry& stored = slot(prefix);
+    if (stored.prefix != prefix)
+        stored = { prefix, { noBackend, noBackend }, {} };
+    // Replaces the older of the two, unless the backend is one of them.
+    std::size_t way = stored.seen[0] <= stored.seen[1] ? 0 : 1;
     for (std::size_t i = 0; i < ways; ++i) {
-        if (place.backends[i] == backend)
+        if (stored.backends[i] == backend)
             way = i;
     }
-    place.backends[way] = backend;
-    place.seen[way] = now;
+    stored.backends[way] = backend;
+    stored.seen[way] = now;
 }
 
 void prefix_table::forget(std::uint64_t prefix, backend_id backend)
 {
-    entry& place = slot(prefix);
-    if (place.prefix != prefix)
+    entry& stored = slot(prefix);
+    if (stored.prefix != prefix)
         return;
-    for (auto& known : place.backends) {
+    for (auto& known : stored.backends) {
         if (known == backend)
             known = noBackend;
     }
 }
 
-std::array<prefix_table::guess, prefix_table::ways> prefix_table::find(std::uint64_t prefix, instant now) const
+std::array<prefix_table::estimate, prefix_table::ways> prefix_table::find(std::uint64_t prefix, instant now) const
 {
-    std::array<guess, ways> guesses;
-    const entry& place = slot(prefix);
-    if (prefix == 0 || place.prefix != prefix)
-        return guesses;
+    std::array<estimate, ways> estimates;
+    const entry& stored = slot(prefix);
+    if (prefix == 0 || stored.prefix != prefix)
+        return estimates;
     for (std::size_t i = 0; i < ways; ++i) {
-        if (place.backends[i] == noBackend)
+        if (stored.backends[i] == noBackend)
             continue;
-        const std::chrono::duration<double> age = now - place.seen[i];
-        guesses[i] = { place.backends[i], std::exp2(-age / confidenceHalfLife) };
+        const std::chrono::duration<double> age = now - stored.seen[i];
+        estimates[i] = { stored.backends[i], std::exp2(-age / confidenceHalfLife) };
     }
-    return guesses;
+    return estimates;
 }
 
 } // namespace rampgap
--- a/Source/policy/prefix_table.h
+++ b/Source/policy/prefix_table.h
@@ -8,12 +8,12 @@
 
 namespace rampgap {
 
-// A fixed table: cache events come late and with gaps, so this is an estimate that decays.
+// A table of fixed size. Cache events arrive late and incompletely, so its entries are estimates that decay.
 class prefix_table {
 public:
     static constexpr std::size_t ways = 2;
 
-    struct guess {
+    struct estimate {
         backend_id backend = noBackend;
         // 0 to 1, falling with the time since the prefix was last sent there.
         double confidence = 0;
@@ -21,10 +21,10 @@
 
     prefix_table();
 
-    void note(std::uint64_t prefix, backend_id, instant now);
+    void record(std::uint64_t prefix, backend_id, instant now);
     // The engine reported that it dropped the prefix.
     void forget(std::uint64_t prefix, backend_id);
-    std::array<guess, ways> find(std::uint64_t prefix, instant now) const;
+    std::array<estimate, ways> find(std::uint64_t prefix, instant now) const;
 
 private:
     struct entry {
--- a/Source/policy/routing_policy.cpp
+++ b/Source/policy/routing_policy.cpp
@@ -14,50 +14,50 @@
     // The round trip to another zone and the prefill that a cached prefix saves.
     constexpr double otherZoneMs = 3;
     constexpr double prefixSavingMs = 40;
-    constexpr std::array<double, 2> homeConfidence { 0.9, 0.5 };
-    constexpr std::uint64_t homeSpread = 0x9E3779B97F4A7C15;
+    constexpr std::array<double, 2> hashedConfidence { 0.9, 0.5 };
+    constexpr std::uint64_t hashMultiplier = 0x9E3779B97F4A7C15;
 
     bool contains(std::span<const backend_id> ids, backend_id id)
     {
         return std::find(ids.begin(), ids.end(), id) != ids.end();
     }
 
-    bool eligible(const routing_question& question, const backend_table& table, backend_id id)
+    bool eligible(const routing_question& input, const backend_table& table, backend_id id)
     {
-        return !contains(question.tried, id) && table.usable(id, question.now);
+        return !contains(input.tried, id) && table.usable(id, input.now);
     }
 
-    // If all look dead, the view is doubted rather than the pool emptied. A backend that
-    // left by itself may be back; if it is not, it refuses the request as not run.
-    bool eligibleInDoubt(const routing_question& question, const backend_table& table, backend_id id)
+    // If all backends look unavailable, this VM's view is assumed to be wrong. A backend that left
+    // by itself may have returned; if it has not, it refuses the request as not run.
+    bool eligibleIfAllUnavailable(const routing_question& input, const backend_table& table, backend_id id)
     {
-        return !contains(question.tried, id) && table.mayBeBack(id);
+        return !contains(input.tried, id) && table.mayBeBack(id);
     }
 
-    backend_id drawFrom(const std::vector<backend_id>& pool, const routing_question& question, const backend_table& table, std::mt19937_64& random)
+    backend_id drawFrom(const std::vector<backend_id>& pool, const routing_question& input, const backend_table& table, std::mt19937_64& random)
     {
         if (pool.empty())
             return noBackend;
         for (int draw = 0; draw < maxDraws; ++draw) {
             const backend_id id = pool[random() % pool.size()];
-            if (eligible(question, table, id))
+            if (eligible(input, table, id))
                 return id;
         }
         const std::size_t offset = random() % pool.size();
         for (std::size_t i = 0; i < pool.size(); ++i) {
             const backend_id id = pool[(offset + i) % pool.size()];
-            if (eligible(question, table, id))
+            if (eligible(input, table, id))
                 return id;
         }
         return noBackend;
     }
 
-    // Of those in doubt, the one whose bad sign is the oldest.
-    backend_id anyInDoubt(const routing_question& question, const backend_table& table)
+    // Among the backends that look unavailable, the one whose time as suspect ends first.
+    backend_id pickUnavailable(const routing_question& input, const backend_table& table)
     {
         backend_id best = noBackend;
-        for (const backend_id id : table.pool(question.service)) {
-            if (!eligibleInDoubt(question, table, id))
+        for (const backend_id id : table.pool(input.service)) {
+            if (!eligibleIfAllUnavailable(input, table, id))
                 continue;
             if (best == noBackend || table.view(id).suspectUntil < table.view(best).suspectUntil)
                 best = id;
@@ -67,15 +67,15 @@
 
     class round_robin : public routing_policy {
     public:
-        backend_id choose(const routing_question& question, const backend_table& table, std::mt19937_64&) override
+        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64&) override
         {
-            const auto& pool = table.pool(question.service);
+            const auto& pool = table.pool(input.service);
             for (std::size_t i = 0; i < pool.size(); ++i) {
                 const backend_id id = pool[m_next++ % pool.size()];
-                if (eligible(question, table, id))
+                if (eligible(input, table, id))
                     return id;
             }
-            return anyInDoubt(question, table);
+            return pickUnavailable(input, table);
         }
 
     private:
@@ -84,77 +84,77 @@
 
     class least_outstanding : public routing_policy {
     public:
-        backend_id choose(const routing_question& question, const backend_table& table, std::mt19937_64&) override
+        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64&) override
         {
             backend_id best = noBackend;
             double least = std::numeric_limits<double>::infinity();
-            for (const backend_id id : table.pool(question.service)) {
-                if (!eligible(question, table, id) || table.outstanding(id, question.now) >= least)
+            for (const backend_id id : table.pool(input.service)) {
+                if (!eligible(input, table, id) || table.outstanding(id, input.now) >= least)
                     continue;
                 best = id;
-                least = table.outstanding(id, question.now);
+                least = table.outstanding(id, input.now);
             }
-            return best == noBackend ? anyInDoubt(question, table) : best;
+            return best == noBackend ? pickUnavailable(input, table) : best;
         }
     };
 
     class random_two : public routing_policy {
     public:
-        backend_id choose(const routing_question& question, const backend_table& table, std::mt19937_64& random) override
+        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64& random) override
         {
-            const auto& pool = table.pool(question.service);
-            const backend_id first = drawFrom(pool, question, table, random);
+            const auto& pool = table.pool(input.service);
+            const backend_id first = drawFrom(pool, input, table, random);
             if (first == noBackend)
-                return anyInDoubt(question, table);
-            const backend_id second = drawFrom(pool, question, table, random);
-            return table.outstanding(second, question.now) < table.outstanding(first, question.now) ? second : first;
+                return pickUnavailable(input, table);
+            const backend_id second = drawFrom(pool, input, table, random);
+            return table.outstanding(second, input.now) < table.outstanding(first, input.now) ? second : first;
         }
     };
 
     class prefix_affinity : public routing_policy {
     public:
-        backend_id choose(const routing_question& question, const backend_table& table, std::mt19937_64& random) override
+        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64& random) override
         {
-            const auto& pool = table.pool(question.service);
-            if (!pool.empty() && question.prefix != 0) {
-                const backend_id home = pool[question.prefix % pool.size()];
-                if (eligible(question, table, home))
-                    return home;
+            const auto& pool = table.pool(input.service);
+            if (!pool.empty() && input.prefix != 0) {
+                const backend_id hashed = pool[input.prefix % pool.size()];
+                if (eligible(input, table, hashed))
+                    return hashed;
             }
-            const backend_id drawn = drawFrom(pool, question, table, random);
-            return drawn == noBackend ? anyInDoubt(question, table) : drawn;
+            const backend_id drawn = drawFrom(pool, input, table, random);
+            return drawn == noBackend ? pickUnavailable(input, table) : drawn;
         }
     };
 
-    // The least of predicted wait, distance and expected prefill, over two random
-    // candidates of the own zone, one of the whole pool, those that lately got the prefix
-    // and the prefix's two hash homes, on which all entry VMs agree without a word.
+    // Minimizes predicted wait, distance and expected prefill over two random candidates of the own
+    // zone, one of the whole pool, those that recently got the prefix, and the two that the prefix
+    // hashes to, which are the same for all entry VMs.
     class scored : public routing_policy {
     public:
-        backend_id choose(const routing_question& question, const backend_table& table, std::mt19937_64& random) override
+        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64& random) override
         {
             best_choice best;
-            const auto guesses = m_prefixes.find(question.prefix, question.now);
-            for (const auto& guess : guesses) {
-                if (guess.backend != noBackend && eligible(question, table, guess.backend) && table.view(guess.backend).serves == question.service)
-                    best.offer(guess.backend, score(question, table, guess.backend) - prefixSavingMs * guess.confidence);
+            const auto estimates = m_prefixes.find(input.prefix, input.now);
+            for (const auto& estimate : estimates) {
+                if (estimate.backend != noBackend && eligible(input, table, estimate.backend) && table.view(estimate.backend).serves == input.service)
+                    best.offer(estimate.backend, score(input, table, estimate.backend) - prefixSavingMs * estimate.confidence);
             }
-            const auto& pool = table.pool(question.service);
-            for (std::size_t i = 0; i < homeConfidence.size() && question.prefix != 0 && !pool.empty(); ++i) {
-                const backend_id home = pool[(question.prefix * (i + 1) * homeSpread >> 32) % pool.size()];
-                if (eligible(question, table, home))
-                    best.offer(home, score(question, table, home) - prefixSavingMs * homeConfidence[i]);
+            const auto& pool = table.pool(input.service);
+            for (std::size_t i = 0; i < hashedConfidence.size() && input.prefix != 0 && !pool.empty(); ++i) {
+                const backend_id hashed = pool[(input.prefix * (i + 1) * hashMultiplier >> 32) % pool.size()];
+                if (eligible(input, table, hashed))
+                    best.offer(hashed, score(input, table, hashed) - prefixSavingMs * hashedConfidence[i]);
             }
             for (int i = 0; i < candidateCount; ++i)
-                offer(best, drawFrom(table.zonePool(question.service), question, table, random), question, table);
-            offer(best, drawFrom(table.pool(question.service), question, table, random), question, table);
-            return best.id == noBackend ? anyInDoubt(question, table) : best.id;
+                offer(best, drawFrom(table.zonePool(input.service), input, table, random), input, table);
+            offer(best, drawFrom(table.pool(input.service), input, table, random), input, table);
+            return best.id == noBackend ? pickUnavailable(input, table) : best.id;
         }
 
         void notePlaced(std::uint64_t prefix, backend_id backend, instant now) override
         {
             if (prefix != 0)
-                m_prefixes.note(prefix, backend, now);
+                m_prefixes.record(prefix, backend, now);
         }
 
     private:
@@ -171,16 +171,16 @@
             }
         };
 
-        static double score(const routing_question& question, const backend_table& table, backend_id id)
+        static double score(const routing_question& input, const backend_table& table, backend_id id)
         {
             const double distance = table.view(id).sameZone ? 0 : otherZoneMs;
-            return table.predictedWaitMs(id, question.now) + distance;
+            return table.predictedWaitMs(id, input.now) + distance;
         }
 
-        static void offer(best_choice& best, backend_id id, const routing_question& question, const backend_table& table)
+        static void offer(best_choice& best, backend_id id, const routing_question& input, const backend_table& table)
         {
             if (id != noBackend)
-                best.offer(id, score(question, table, id));
+                best.offer(id, score(input, table, id));
         }
 
         prefix_table m_prefixes;
--- a/Source/policy/routing_policy.h
+++ b/Source/policy/routing_policy.h
@@ -1,4 +1,4 @@
-// Chooses the backend server of a request that may run on any of its pool.
+// Chooses the backend server for a request that may run on any server of its pool.
 #pragma once
 
 #include "policy/backend_table.h"
@@ -11,7 +11,7 @@
 
 namespace rampgap {
 
-// One decision. `tried` lists backends that must not be chosen again.
+// Parameters of one decision. `tried` lists backends that must not be chosen again.
 struct routing_question {
     const std::string& service;
     // Hash of the prompt's prefix, 0 if it has none.
@@ -26,7 +26,7 @@
 
     // The backend to use, or `noBackend` if none is left. Allocates nothing.
     virtual backend_id choose(const routing_question&, const backend_table&, std::mt19937_64&) = 0;
-    // The choice was carried out and the engine now holds the prefix.
+    // The request was sent to the chosen backend, whose engine now caches the prefix.
     virtual void notePlaced(std::uint64_t prefix, backend_id, instant now);
 
     // "scored", "round_robin", "least_outstanding", "random_two" or "prefix_affinity".
--- a/Source/policy/upstream_choice.cpp
+++ b/Source/policy/upstream_choice.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-    // A request in a plain service's queue costs about this (measured mean of its work).
+    // Time that a request in a plain service's queue takes (measured mean).
     constexpr double plainRequestMs = 60;
-    // A server beyond its capacity makes new requests wait for an earlier one's end.
+    // At a server beyond its capacity a new request waits for the end of an earlier one.
     constexpr double overCapacityMs = 400;
-    // For each unit of pace over the usual.
+    // Added for each unit of pace above 1.
     constexpr double slowRankMs = 2'000;
-    // Added for a server in another zone: its answer's bytes cross zones, which is dearer than
-    // a little more load at home. Against 3 ms: 0.0085 GB between zones a day in place of 0.0122.
+    // Added for a server in another zone: traffic between zones is more expensive than slightly more
+    // load in the own zone. Compared with 3 ms it is 0.0085 GB a day in place of 0.0122.
     constexpr double otherZoneMs = 20;
-    // What a failed try costs: its time and a unit of the retry budget.
+    // Cost of a failed attempt: its time and a unit of the retry budget.
     constexpr double failedTryMs = 600;
-    // Servers that one choice compares. Of 40 entry VMs with counts 0.2 s old, all choosing
-    // the least loaded of 63 made queues of 16 there. Modelled for 149 entry VMs before 129 ranks with
-    // 0.7 of their places taken, 0.020 of the requests wait too long at a full rank with four, 0.032
-    // with six.
+    // Number of servers that one choice compares. When 40 entry VMs with counts 0.2 s old all chose
+    // the least loaded of 63, queues of 16 formed there. In a model of 149 entry VMs and 129 ranks with
+    // 0.7 of their request slots taken, 0.020 of the requests wait too long at a full rank when four
+    // are compared, 0.032 when six are.
     constexpr int comparedServers = 4;
-    // How much more often a server of the own zone is among them than another: with five zones
-    // mostly one or two of four are.
+    // How much more often a server of the own zone is among them than another one. With five zones
+    // mostly one or two of the four are of the own zone.
     constexpr double ownZoneWeight = 2;
 
 } // namespace
@@ -36,15 +36,15 @@
     const double over = std::max(0, load.requests + 1 - capacity);
     if (!costs)
         return plainRequestMs * static_cast<double>(load.requests) / std::max(1, capacity) + overCapacityMs * over;
-    const double reading = static_cast<double>(load.unreadTokens + promptTokens) / costs->prefillTokensPerMs;
-    const double writing = (costs->stepMs + costs->perSequenceMs * load.requests) * costs->stepsPerPass;
-    // In lock-step a slow rank's own part holds all others back: it gets work last.
-    return (reading + writing) * load.pace + overCapacityMs * over + slowRankMs * (load.pace - 1);
+    const double prefillMs = static_cast<double>(load.unreadTokens + promptTokens) / costs->prefillTokensPerMs;
+    const double passMs = (costs->stepMs + costs->perSequenceMs * load.requests) * costs->stepsPerPass;
+    // All ranks run in lock-step, so work of a slow rank delays the others: it gets work last.
+    return (prefillMs + passMs) * load.pace + overCapacityMs * over + slowRankMs * (load.pace - 1);
 }
 
 namespace {
 
-    // The servers that can be reached and run requests, as far as is known; all where none can.
+    // The servers that, as far as known, can be reached and run requests; all of them if none can.
     std::vector<std::string> runningPool(const std::string& service, const backend_directory& backends, const group_board& groups, instant now)
     {
         std::vector<std::string> pool = backends.pool(service);
@@ -59,7 +59,7 @@
 
 namespace {
 
-    // What the ranks of a group have at once, in the mean.
+    // Load of a group: requests at all of its ranks, and the capacity of one rank.
     struct group_load {
         int requests = 0;
         int ranks = 0;
@@ -67,106 +67,107 @@
         group_strain strain;
     };
 
-    // Load pattern: one rank of a group turns five times slower, or demand shifts in one of
-    // three: all passes of that group are too long, whichever rank a request is at, while the
-    // other groups have room. Not rank by rank: entry VMs with the same old counts would meet at
-    // the few that show room (149 of them before 129 ranks: 0.024 wait too long, 0.020 without).
-    bool runsInTime(const upstream_question& question, const group_load& load)
+    // Load pattern: one rank of a group becomes five times slower, or demand shifts in one of three
+    // groups. All passes of that group are too long, whichever rank a request is at, while the other
+    // groups have free slots. Not decided rank by rank: entry VMs with the same old counts would all
+    // choose the few ranks that seem to have free slots (149 of them with 129 ranks: 0.024 of the
+    // requests wait too long, 0.020 without).
+    bool runsInTime(const upstream_question& input, const group_load& load)
     {
-        const milliseconds gap = timelyPass(question.longestGap);
-        const int limit = std::min(load.capacity, sequencesToRun(*question.costs, load.strain, gap));
-        const bool hasRoom = load.requests < limit * load.ranks;
-        return hasRoom && passTime(*question.costs, limit, load.strain) <= static_cast<double>(gap.count());
+        const milliseconds gap = timelyPass(input.longestGap);
+        const int limit = std::min(load.capacity, sequencesToRun(*input.costs, load.strain, gap));
+        const bool hasFreeSlots = load.requests < limit * load.ranks;
+        return hasFreeSlots && passTime(*input.costs, limit, load.strain) <= static_cast<double>(gap.count());
     }
 
 } // namespace
 
 namespace {
 
-    // The places of a server that requests can fill, within the limit that it has named.
-    int fillablePlaces(const listed_backend& listed, const server_backpressure& backpressure, const pool_question& question)
+    // The request slots of a server that can be filled within the rate limit that it has announced.
+    int fillableSlots(const listed_backend& listed, const server_backpressure& backpressure, const pool_question& input)
     {
-        const auto perSecond = backpressure.limits.limitOf(backendHash(listed.id), question.now);
+        const auto perSecond = backpressure.limits.limitOf(backendHash(listed.id), input.now);
         if (!perSecond)
             return listed.capacity;
-        const double filled = *perSecond * std::chrono::duration<double>(question.usualRun).count();
+        const double filled = *perSecond * std::chrono::duration<double>(input.usualRun).count();
         return static_cast<int>(std::clamp(std::ceil(filled), 1.0, static_cast<double>(std::max(1, listed.capacity))));
     }
 
 } // namespace
 
-pool_load poolLoad(const pool_question& question, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
+pool_load poolLoad(const pool_question& input, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
 {
     pool_load sum;
-    for (const auto& id : runningPool(question.service, backends, groups, question.now)) {
-        if (!backpressure.backoffs.maySend(backendHash(id), question.now))
+    for (const auto& id : runningPool(input.service, backends, groups, input.now)) {
+        if (!backpressure.backoffs.maySend(backendHash(id), input.now))
             continue;
-        const int capacity = fillablePlaces(*backends.find(id), backpressure, question);
+        const int capacity = fillableSlots(*backends.find(id), backpressure, input);
         sum.capacity += capacity;
-        const bool bounded = question.costs && question.longestGap > milliseconds(0);
-        sum.toRun += bounded ? std::min(capacity, sequencesToRun(*question.costs, groups.strainAt(question.service, backendHash(id), question.now), question.longestGap)) : capacity;
-        sum.requests += loads.total(id, question.now).requests;
+        const bool bounded = input.costs && input.longestGap > milliseconds(0);
+        sum.toRun += bounded ? std::min(capacity, sequencesToRun(*input.costs, groups.strainAt(input.service, backendHash(id), input.now), input.longestGap)) : capacity;
+        sum.requests += loads.total(id, input.now).requests;
     }
     return sum;
 }
 
-std::vector<upstream_choice::candidate> upstream_choice::candidates(const upstream_question& question, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
+std::vector<upstream_choice::candidate> upstream_choice::candidates(const upstream_question& input, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
 {
     std::vector<candidate> found;
     std::map<std::string, group_load> byGroup;
-    for (auto& id : runningPool(question.service, backends, groups, question.now)) {
-        if (std::find(question.tried.begin(), question.tried.end(), id) != question.tried.end())
+    for (auto& id : runningPool(input.service, backends, groups, input.now)) {
+        if (std::find(input.tried.begin(), input.tried.end(), id) != input.tried.end())
             continue;
         const std::uint32_t hash = backendHash(id);
-        if (!backpressure.maySend(hash, question.priority, question.now))
+        if (!backpressure.maySend(hash, input.priority, input.now))
             continue;
         const auto* listed = backends.find(id);
-        const backend_load load = loads.total(id, question.now);
+        const backend_load load = loads.total(id, input.now);
         candidate each;
-        each.granted = backpressure.limits.limitOf(hash, question.now).has_value();
-        each.delay = expectedDelay(load, listed->capacity, question.costs, question.promptTokens);
+        each.granted = backpressure.limits.limitOf(hash, input.now).has_value();
+        each.delay = expectedDelay(load, listed->capacity, input.costs, input.promptTokens);
         each.delay += failedTryMs * backends.health(id).failureShare;
-        each.inOwnZone = listed->zone == question.ownZone;
-        // The one VM that has a grant may well be in another zone.
+        each.inOwnZone = listed->zone == input.ownZone;
+        // Only one VM may have a grant, and it may be in another zone.
         if (!each.inOwnZone && !each.granted)
             each.delay += otherZoneMs;
-        each.avoided = backends.avoided(id, question.now);
-        each.group = groups.groupOf(question.service, hash);
+        each.avoided = backends.avoided(id, input.now);
+        each.group = groups.groupOf(input.service, hash);
         auto& group = byGroup[each.group];
         if (group.ranks++ == 0)
-            group.strain = groups.strainAt(question.service, hash, question.now);
+            group.strain = groups.strainAt(input.service, hash, input.now);
         group.requests += load.requests;
         group.capacity = listed->capacity;
         each.id = std::move(id);
         found.push_back(std::move(each));
     }
-    const bool anyGap = !question.costs || question.longestGap <= milliseconds(0);
-    if (anyGap || byGroup.size() < 2)
+    const bool acceptsAnyGap = !input.costs || input.longestGap <= milliseconds(0);
+    if (acceptsAnyGap || byGroup.size() < 2)
         return found;
     std::map<std::string, bool> inTime;
     for (const auto& [name, load] : byGroup)
-        inTime[name] = runsInTime(question, load);
+        inTime[name] = runsInTime(input, load);
     for (auto& each : found)
         each.timely = inTime[each.group];
     return found;
 }
 
-void upstream_choice::prefer(std::vector<candidate>& all, const upstream_question& question, const group_board& groups)
+void upstream_choice::prefer(std::vector<candidate>& all, const upstream_question& input, const group_board& groups)
 {
     const auto keepIfAny = [&all](const auto& good) {
         if (std::any_of(all.begin(), all.end(), good))
             std::erase_if(all, [&good](const candidate& each) { return !good(each); });
     };
     keepIfAny([&](const candidate& each) {
-        return each.group.empty() || std::none_of(question.silent.begin(), question.silent.end(), [&](const std::string& id) { return groups.groupOf(question.service, backendHash(id)) == each.group; });
+        return each.group.empty() || std::none_of(input.silent.begin(), input.silent.end(), [&](const std::string& id) { return groups.groupOf(input.service, backendHash(id)) == each.group; });
     });
-    // Where all look bad the view is in doubt: then all of them count.
+    // If all are avoided, this view is probably wrong: then all of them are considered.
     keepIfAny([](const candidate& each) { return !each.avoided; });
     keepIfAny([](const candidate& each) { return each.timely; });
 }
 
-// Entry VMs see the same counts, and until the next ones all would choose the same server:
-// each compares a few at random, and all only if those are full.
+// Entry VMs see the same counts, so until the next ones arrive all would choose the same server.
+// Each compares a few at random instead, and all of them only if those are full.
 const upstream_choice::candidate& upstream_choice::bestOfFew(const std::vector<candidate>& all, std::mt19937_64& random)
 {
     const auto byDelay = [](const candidate& a, const candidate& b) { return a.delay < b.delay; };
@@ -175,7 +176,7 @@
     for (const auto& each : all)
         weights.push_back(each.inOwnZone ? ownZoneWeight : 1);
     std::discrete_distribution<std::size_t> draw(weights.begin(), weights.end());
-    // A grant that is not used soon is lost: what the server takes would go unused.
+    // A grant that is not used soon expires, and the capacity of the server would be wasted.
     const auto granted = std::find_if(all.begin(), all.end(), [](const candidate& each) { return each.granted; });
     const candidate* best = granted != all.end() ? &*granted : &all[draw(random)];
     for (int i = 1; i < comparedServers; ++i)
@@ -185,12 +186,12 @@
     return *std::min_element(all.begin(), all.end(), byDelay);
 }
 
-std::string upstream_choice::choose(const upstream_question& question, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure, std::mt19937_64& random) const
+std::string upstream_choice::choose(const upstream_question& input, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure, std::mt19937_64& random) const
 {
-    std::vector<candidate> all = candidates(question, backends, loads, groups, backpressure);
+    std::vector<candidate> all = candidates(input, backends, loads, groups, backpressure);
     if (all.empty())
         return {};
-    prefer(all, question, groups);
+    prefer(all, input, groups);
     return bestOfFew(all, random).id;
 }
 
--- a/Source/policy/upstream_choice.h
+++ b/Source/policy/upstream_choice.h
@@ -1,4 +1,4 @@
-// Chooses the backend server for one try.
+// Chooses the backend server for one attempt of a request.
 #pragma once
 
 #include "policy/backend_directory.h"
@@ -17,10 +17,10 @@
     // Set for model engines.
     std::optional<engine_costs> costs;
     std::int64_t promptTokens = 0;
-    // Servers that this request has been at.
+    // Servers that this request was already sent to.
     std::vector<std::string> tried;
-    // Of those, the ones that stayed silent or could not be reached: what they lack their whole
-    // group may lack.
+    // Of those, the ones that did not answer or could not be reached: their whole group may have
+    // the same fault.
     std::vector<std::string> silent;
     std::string ownZone;
     instant now;
@@ -30,27 +30,29 @@
     milliseconds longestGap { 0 };
 };
 
-// Expected milliseconds until a server would have read the prompt of a new request, were it
-// alone in its pass; for plain services its queue in units of its capacity.
+// Expected delay of a new request at a server, in milliseconds. For model engines the time to process
+// its prompt and those before it, plus one pass of the running requests; for plain services the time
+// in the queue.
 double expectedDelay(const backend_load&, int capacity, const std::optional<engine_costs>&, std::int64_t promptTokens);
 
-// What the open servers of a service run at once, and the requests they have; without those
-// whose group is closed or that asked this process to back off.
+// Capacity and requests of the servers of a service that accept work, without those whose group is
+// closed or that asked this process to back off.
 struct pool_load {
     int capacity = 0;
     int requests = 0;
-    // Of the capacity, what is best run at once for the gap that was asked for.
+    // Part of the capacity to use at once so that the requested gap is met.
     int toRun = 0;
 
     bool operator==(const pool_load&) const = default;
 };
 
-// What poolLoad is asked.
+// Parameters of poolLoad().
 struct pool_question {
     std::string service;
     std::optional<engine_costs> costs;
     milliseconds longestGap { 0 };
-    // From a place to the end of the answer: with a limit on its requests a server fills so many places.
+    // Typical time from the start of a request to the end of its answer: it tells how many request
+    // slots a server with a rate limit can fill.
     milliseconds usualRun { 0 };
     instant now;
 };
@@ -59,9 +61,9 @@
 
 class upstream_choice {
 public:
-    // The id of the server; empty if the service has none that may be sent to. A server whose group is closed is
-    // chosen only where all are, one whose group's passes are too long for the caller, or that
-    // has all that it can run in time, only where no other is left.
+    // The id of the server; empty if the service has none that requests may be sent to. A server of a
+    // closed group is chosen only if all groups are closed. One whose group's passes are too long for
+    // the caller, or whose group has all requests that it can run in time, only if no other is left.
     std::string choose(const upstream_question&, const backend_directory&, const load_board&, const group_board&, const server_backpressure&, std::mt19937_64&) const;
 
 private:
@@ -72,14 +74,14 @@
         double delay = 0;
         bool avoided = false;
         bool inOwnZone = false;
-        // This process has a grant for it.
+        // This process has a grant to send to it.
         bool granted = false;
-        // By what is known its group has room, and passes that are short enough.
+        // As far as known, its group has free slots and short enough passes.
         bool timely = true;
     };
 
     static std::vector<candidate> candidates(const upstream_question&, const backend_directory&, const load_board&, const group_board&, const server_backpressure&);
-    // Leaves what is best kept away from, as long as anything else is left.
+    // Drops the less suitable candidates as long as any other is left.
     static void prefer(std::vector<candidate>&, const upstream_question&, const group_board&);
     static const candidate& bestOfFew(const std::vector<candidate>&, std::mt19937_64&);
 };
--- a/Tests/platform/backend-list/test.cpp
+++ b/Tests/platform/backend-list/test.cpp
@@ -1,4 +1,4 @@
-// Which listed servers get work: lapses during an outage, reused addresses, bad outcomes.
+// Which listed servers get requests: entries that lapse in an outage, reused addresses, failed attempts.
 #include "policy/backend_directory.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("of two entries with one address the newer one lives")
+TEST_CASE("of two entries with one address only the newer one gets requests")
 {
     backend_directory list;
     list.list(server("new", "10.0.0.1:80", 9));
@@ -26,10 +26,10 @@
     CHECK(list.pool("model") == std::vector<std::string> { "new", "other" });
     CHECK(list.findByAddress("10.0.0.1:80")->id == "new");
     list.unlist("old", zero, zero);
-    CHECK(list.open("new"));
+    CHECK(list.acceptsWork("new"));
 }
 
-TEST_CASE("an entry that goes without doubt is gone at once, and an older one counts again")
+TEST_CASE("an entry removed while the list is not in doubt is dropped at once, and an older one at its address is valid again")
 {
     backend_directory list;
     list.list(server("first", "10.0.0.1:80", 3));
@@ -38,34 +38,34 @@
     CHECK(list.pool("model") == std::vector<std::string> { "first" });
 }
 
-TEST_CASE("an entry that lapses while the list is in doubt stays until the doubt is over")
+TEST_CASE("an entry that lapses while the list is in doubt is kept until the doubt ends")
 {
     backend_directory list;
     list.list(server("a", "10.0.0.1:80", 1));
     list.unlist("a", zero, doubtEnds);
-    list.settle(doubtEnds - milliseconds(1));
-    CHECK(list.open("a"));
-    SUBCASE("it comes back")
+    list.removeExpired(doubtEnds - milliseconds(1));
+    CHECK(list.acceptsWork("a"));
+    SUBCASE("it is listed again")
     {
         list.list(server("a", "10.0.0.1:80", 1));
-        list.settle(doubtEnds);
-        CHECK(list.open("a"));
+        list.removeExpired(doubtEnds);
+        CHECK(list.acceptsWork("a"));
     }
-    SUBCASE("it stays away")
+    SUBCASE("it stays missing")
     {
-        // Not a moment longer: the server may have said nothing and left.
-        list.settle(doubtEnds);
+        // Not any longer: the server may have left without announcing it.
+        list.removeExpired(doubtEnds);
         CHECK(list.pool("model").empty());
     }
 }
 
-TEST_CASE("a draining server gets nothing, and one that lapsed while draining is not kept")
+TEST_CASE("a draining server gets no requests, and is not kept if it lapses")
 {
     backend_directory list;
     auto leaving = server("a", "10.0.0.1:80", 1);
     leaving.draining = true;
     list.list(leaving);
-    CHECK_FALSE(list.open("a"));
+    CHECK_FALSE(list.acceptsWork("a"));
     list.unlist("a", zero, doubtEnds);
     CHECK(list.find("a") == nullptr);
 }
@@ -80,10 +80,10 @@
     CHECK(list.health("a").avoidedUntil - zero > first);
     CHECK(list.avoided("a", zero));
     CHECK_FALSE(list.avoided("a", zero + milliseconds(10'000)));
-    CHECK(list.open("a"));
+    CHECK(list.acceptsWork("a"));
 }
 
-TEST_CASE("a server that fails half of its tries is avoided, one that fails rarely is not")
+TEST_CASE("a server that fails half of its attempts is avoided, one that fails rarely is not")
 {
     backend_directory list;
     list.list(server("grey", "10.0.0.1:80", 1));
@@ -96,7 +96,7 @@
     CHECK_FALSE(list.avoided("good", zero));
 }
 
-TEST_CASE("whoever only keeps in touch keeps an entry that lapsed, but not one that left")
+TEST_CASE("with a retention for lapsed entries, a lapsed entry is kept, but not one that was draining")
 {
     backend_directory list(milliseconds(5'000));
     list.list(server("cut", "10.0.0.1:80", 1));
@@ -105,17 +105,17 @@
     list.list(leaving);
     list.unlist("cut", zero, zero);
     list.unlist("leaving", zero, zero);
-    list.settle(zero + milliseconds(4'999));
+    list.removeExpired(zero + milliseconds(4'999));
     CHECK(list.pool("model") == std::vector<std::string> { "cut" });
     CHECK(list.find("leaving") == nullptr);
     // A newer server at its address replaces it at once.
     list.list(server("new", "10.0.0.1:80", 3));
     CHECK(list.pool("model") == std::vector<std::string> { "new" });
-    list.settle(zero + milliseconds(5'000));
+    list.removeExpired(zero + milliseconds(5'000));
     CHECK(list.find("cut") == nullptr);
 }
 
-TEST_CASE("a server that was started again under its id has nothing of before")
+TEST_CASE("a server restarted under its id starts with an empty record")
 {
     backend_directory list;
     auto first = server("a", "10.0.0.1:80", 1);
@@ -124,53 +124,53 @@
     for (int i = 0; i < 20; ++i)
         list.noteResult("a", try_result::failed, zero);
     list.noteResult("a", try_result::replaced, zero);
-    CHECK_FALSE(list.open("a"));
-    // Another entry of the same life changes nothing.
+    CHECK_FALSE(list.acceptsWork("a"));
+    // Another entry of the same incarnation changes nothing.
     first.capacity = 6;
     CHECK_FALSE(list.list(first));
-    CHECK_FALSE(list.open("a"));
-    // Its clock may have been put back in between.
+    CHECK_FALSE(list.acceptsWork("a"));
+    // Its clock may have been set back in between.
     auto second = first;
     second.incarnation = 900;
     CHECK(list.list(second));
-    CHECK(list.open("a"));
+    CHECK(list.acceptsWork("a"));
     CHECK_FALSE(list.avoided("a", zero));
     CHECK(list.health("a").failureShare == 0);
 }
 
-TEST_CASE("an entry of a service that nobody named takes no address")
+TEST_CASE("an entry of a service that is not configured takes no address over")
 {
     backend_directory list;
     list.list(server("model", "10.0.0.1:80", 3));
     auto foreign = server("foreign", "10.0.0.1:80", 9);
     foreign.service = "unheard-of";
     list.list(foreign);
-    // Before there is a configuration nobody can tell.
-    CHECK_FALSE(list.open("model"));
+    // Without a configuration all services count.
+    CHECK_FALSE(list.acceptsWork("model"));
     list.setServices({ "model" });
-    CHECK(list.open("model"));
+    CHECK(list.acceptsWork("model"));
     auto another = foreign;
     another.id = "another";
     another.createdAt = 12;
     list.list(another);
-    CHECK(list.open("model"));
+    CHECK(list.acceptsWork("model"));
     list.setServices({ "model", "unheard-of" });
-    CHECK_FALSE(list.open("model"));
+    CHECK_FALSE(list.acceptsWork("model"));
 }
 
-TEST_CASE("a server that moves frees the address it had")
+TEST_CASE("a server that moves frees its former address")
 {
     backend_directory list;
     list.list(server("old", "10.0.0.1:80", 3));
     list.list(server("mover", "10.0.0.1:80", 9));
-    CHECK_FALSE(list.open("old"));
+    CHECK_FALSE(list.acceptsWork("old"));
     list.list(server("mover", "10.0.0.2:80", 9));
-    CHECK(list.open("old"));
+    CHECK(list.acceptsWork("old"));
 }
 
-// A restored store gives out its revisions again: a server that took over an address after the return was listed with a
-// lower creation (38) than the one before it (40), which was missing from the list and kept in doubt, and got nothing.
-TEST_CASE("an entry that is missing from the list takes no address from one that is listed")
+// A restored store reuses revision numbers: a server that took over an address after the restoration had a lower creation
+// revision (38) than the one before it (40), which was missing from the list but still kept, and got no requests.
+TEST_CASE("an entry that is missing from the list does not shut out a listed one at its address")
 {
     backend_directory list;
     list.list(server("lost", "10.0.0.1:80", 40));
@@ -178,11 +178,11 @@
     CHECK(list.pool("model") == std::vector<std::string> { "lost" });
     list.list(server("next", "10.0.0.1:80", 38));
     CHECK(list.pool("model") == std::vector<std::string> { "next" });
-    list.settle(doubtEnds);
+    list.removeExpired(doubtEnds);
     CHECK(list.pool("model") == std::vector<std::string> { "next" });
 }
 
-TEST_CASE("a server that said that it leaves gets nothing more in its life, whatever the list says")
+TEST_CASE("a server that announced that it is leaving gets no more requests in its incarnation, whatever the list says")
 {
     backend_directory list;
     listed_backend leaving = server("s", "10.0.0.1:80", 1);
@@ -192,14 +192,14 @@
     CHECK_FALSE(list.noteLeaving("s", zero));
     CHECK(list.pool("model").empty());
     list.list(leaving);
-    CHECK_FALSE(list.open("s"));
+    CHECK_FALSE(list.acceptsWork("s"));
     list.unlist("s", zero, doubtEnds);
-    list.settle(doubtEnds);
+    list.removeExpired(doubtEnds);
     list.list(leaving);
-    CHECK_FALSE(list.open("s"));
+    CHECK_FALSE(list.acceptsWork("s"));
     leaving.incarnation = 200;
     list.list(leaving);
-    CHECK(list.open("s"));
+    CHECK(list.acceptsWork("s"));
 }
 
 TEST_CASE("a server that left long ago is forgotten, one that is still listed is not")
@@ -210,9 +210,9 @@
     list.noteLeaving("stays", zero);
     list.noteLeaving("gone", zero);
     list.unlist("gone", zero, zero);
-    list.settle(zero + std::chrono::minutes(9));
-    list.settle(zero + std::chrono::minutes(11));
+    list.removeExpired(zero + std::chrono::minutes(9));
+    list.removeExpired(zero + std::chrono::minutes(11));
     list.list(server("gone", "10.0.0.2:80", 1));
-    CHECK_FALSE(list.open("stays"));
-    CHECK(list.open("gone"));
+    CHECK_FALSE(list.acceptsWork("stays"));
+    CHECK(list.acceptsWork("gone"));
 }
--- a/Tests/platform/cut-group/test.cpp
+++ b/Tests/platform/cut-group/test.cpp
@@ -1,5 +1,5 @@
-// Load pattern: a zone with a whole expert group is cut off. Its servers stay listed, and a
-// try at one of them costs the time limit of a connection, half of a caller's target.
+// Load pattern: a zone with a whole expert group is cut off. Its servers stay listed, and an attempt
+// at one of them takes until the connection times out, which is half of a caller's target.
 #include "policy/upstream_choice.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +25,7 @@
     return made;
 }
 
-// One of 42 entry VMs, with 7 requests a second, before three groups of a zone each.
+// One of 42 entry VMs, with 7 requests per second, and three groups in a zone each.
 class entry_vm {
 public:
     entry_vm()
@@ -39,8 +39,8 @@
         }
     }
 
-    // News of groups come each 150 ms, but not from `cut` from `cutAt` on.
-    void hear(instant now, const std::string& cut, instant cutAt)
+    // Updates of the groups arrive every 150 ms, except those of `cut` from `cutAt` on.
+    void receiveUpdates(instant now, const std::string& cut, instant cutAt)
     {
         for (const std::string zone : { "a", "b", "c" }) {
             if (zone != cut || now < cutAt)
@@ -55,16 +55,16 @@
         m_loads.noteRanks(counts, now);
     }
 
-    // Zone of the server of one try.
+    // Zone of the server of one attempt.
     std::string tryAt(instant now, const std::string& cut)
     {
-        upstream_question question;
-        question.service = service;
-        question.ownZone = "b";
-        question.costs = costs();
-        question.promptTokens = 800;
-        question.now = now;
-        const std::string id = m_choice.choose(question, m_backends, m_loads, groups, server_backpressure(), m_random);
+        upstream_question input;
+        input.service = service;
+        input.ownZone = "b";
+        input.costs = costs();
+        input.promptTokens = 800;
+        input.now = now;
+        const std::string id = m_choice.choose(input, m_backends, m_loads, groups, server_backpressure(), m_random);
         const std::string zone = id.substr(0, 1);
         const bool reached = zone != cut;
         const instant ended = reached ? now : now + connectTimeout;
@@ -73,17 +73,17 @@
         return zone;
     }
 
-    // Zone of the second try of a request whose first one stayed silent.
+    // Zone of the second attempt of a request whose first server did not answer.
     std::string retryAfterSilenceOf(const std::string& id, instant now)
     {
-        upstream_question question;
-        question.service = service;
-        question.ownZone = "b";
-        question.costs = costs();
-        question.now = now;
-        question.tried = { id };
-        question.silent = { id };
-        return m_choice.choose(question, m_backends, m_loads, groups, server_backpressure(), m_random).substr(0, 1);
+        upstream_question input;
+        input.service = service;
+        input.ownZone = "b";
+        input.costs = costs();
+        input.now = now;
+        input.tried = { id };
+        input.silent = { id };
+        return m_choice.choose(input, m_backends, m_loads, groups, server_backpressure(), m_random).substr(0, 1);
     }
 
     group_board groups { milliseconds(1'500) };
@@ -95,65 +95,65 @@
     std::mt19937_64 m_random { 11 };
 };
 
-// Tries at the cut group in the five seconds after the cut.
-int triesAtCutGroup(bool newsStop)
+// Number of attempts at the cut group in the five seconds after the cut.
+int triesAtCutGroup(bool updatesStop)
 {
     entry_vm entry;
     const instant cutAt = zero + milliseconds(2'000);
-    int tries = 0;
+    int attempts = 0;
     for (instant now = zero; now < cutAt + milliseconds(5'000); now += milliseconds(143)) {
-        entry.hear(now, newsStop ? "a" : "none", cutAt);
+        entry.receiveUpdates(now, updatesStop ? "a" : "none", cutAt);
         const std::string cut = now < cutAt ? "none" : "a";
         if (now >= cutAt)
-            tries += entry.tryAt(now, cut) == "a" ? 1 : 0;
+            attempts += entry.tryAt(now, cut) == "a" ? 1 : 0;
         else
             entry.tryAt(now, cut);
     }
-    return tries;
+    return attempts;
 }
 
 } // namespace
 
-TEST_CASE("a group that is cut off is left alone as a whole, not server by server")
+TEST_CASE("a group that is cut off is avoided as a whole, not server by server")
 {
-    // By failed tries alone: one every second, at the most, finds out whether it is back.
+    // Failed attempts alone are seen: at most one probe per second finds out whether the group is back.
     CHECK(triesAtCutGroup(false) <= 7);
-    // With its news missing too, about as many as come before the silence shows. Server by
-    // server it takes 12 tries in either case.
+    // If its updates stop as well, only attempts before the silence is noticed. Decided server by
+    // server it takes 12 attempts in either case.
     CHECK(triesAtCutGroup(true) <= 4);
 }
 
-TEST_CASE("a single server that cannot be reached takes its group out of nothing")
+TEST_CASE("a single unreachable server does not make its group count as unreachable")
 {
     entry_vm entry;
-    entry.hear(zero, "none", zero);
+    entry.receiveUpdates(zero, "none", zero);
     for (int i = 0; i < 5; ++i)
         entry.groups.noteReach(service, backendHash(idOf("a", 3)), false, zero);
     CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
     entry.groups.noteReach(service, backendHash(idOf("a", 5)), false, zero);
     CHECK(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
-    // Other groups are not concerned, and one success ends it.
+    // Other groups are not affected, and one success ends it.
     CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("b", 4)), zero));
     entry.groups.noteReach(service, backendHash(idOf("a", 6)), true, zero);
     CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
 }
 
-TEST_CASE("where no group is heard of, or there is only one, silence says nothing")
+TEST_CASE("if updates of all groups are missing, or there is only one group, silence does not count as unreachable")
 {
     entry_vm entry;
-    entry.hear(zero, "none", zero);
+    entry.receiveUpdates(zero, "none", zero);
     const instant later = zero + milliseconds(5'000);
     CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 0)), later));
-    // One is heard of again, the others are not.
+    // Updates of one group arrive again, those of the others do not.
     entry.groups.note({ { service, "b" }, { 1, true } }, milliseconds(0), later);
     CHECK(entry.groups.outOfReach(service, backendHash(idOf("a", 0)), later));
     CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("b", 0)), later));
 }
 
-TEST_CASE("servers out of reach are used where there are no others")
+TEST_CASE("unreachable servers are used if there are no others")
 {
     entry_vm entry;
-    entry.hear(zero, "none", zero);
+    entry.receiveUpdates(zero, "none", zero);
     for (const std::string zone : { "a", "b", "c" }) {
         for (int rank = 0; rank < 3; ++rank)
             entry.groups.noteReach(service, backendHash(idOf(zone, rank)), false, zero);
@@ -161,14 +161,14 @@
     CHECK_FALSE(entry.tryAt(zero, "none").empty());
 }
 
-TEST_CASE("a request whose server stayed silent goes on in another group")
+TEST_CASE("a request whose server did not answer is retried in another group")
 {
     entry_vm entry;
-    entry.hear(zero, "none", zero);
+    entry.receiveUpdates(zero, "none", zero);
     for (int i = 0; i < 50; ++i)
         CHECK(entry.retryAfterSilenceOf(idOf("b", i % ranksOfGroup), zero) != "b");
     CHECK(entry.groups.openElsewhere(service, backendHash(idOf("b", 0)), zero));
-    // With the other groups closed or cut off there is nothing to go on with.
+    // With the other groups closed or cut off it has to stay in its group.
     entry.groups.note({ { service, "a" }, { 1, false } }, milliseconds(0), zero);
     for (int rank = 0; rank < 2; ++rank)
         entry.groups.noteReach(service, backendHash(idOf("c", rank)), false, zero);
--- a/Tests/platform/slow-group/test.cpp
+++ b/Tests/platform/slow-group/test.cpp
@@ -1,5 +1,5 @@
-// Load pattern: one rank of one group turns slow, or demand shifts there. All ranks run in
-// lock-step: every stream of the group is late, at whichever rank it is.
+// Load pattern: one rank of one group becomes slow, or demand shifts there. All ranks run in
+// lock-step, so every stream of the group is late, whichever rank it is at.
 #include "policy/upstream_choice.h"
 #include "support/engine_costs.h"
 
@@ -36,21 +36,21 @@
         loads.noteRanks(counts, zero);
     }
 
-    // Requests of 300 that each group is given.
+    // How many of 300 requests each group gets.
     std::map<std::string, int> choices(milliseconds longestGap)
     {
-        std::map<std::string, int> seen;
+        std::map<std::string, int> counts;
         for (int i = 0; i < 300; ++i) {
-            upstream_question question;
-            question.service = service;
-            question.costs = test::usualCosts();
-            question.promptTokens = 800;
-            question.ownZone = std::string(1, static_cast<char>('a' + i % 3));
-            question.now = zero;
-            question.longestGap = longestGap;
-            ++seen[upstream_choice().choose(question, backends, loads, groups, server_backpressure(), random).substr(0, 1)];
+            upstream_question input;
+            input.service = service;
+            input.costs = test::usualCosts();
+            input.promptTokens = 800;
+            input.ownZone = std::string(1, static_cast<char>('a' + i % 3));
+            input.now = zero;
+            input.longestGap = longestGap;
+            ++counts[upstream_choice().choose(input, backends, loads, groups, server_backpressure(), random).substr(0, 1)];
         }
-        return seen;
+        return counts;
     }
 
     backend_directory backends;
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("a group with a rank five times slower gets nothing while the others have room")
+TEST_CASE("a group with a rank five times slower gets no requests while the others have free slots")
 {
     fleet made;
     for (const std::string group : { "a", "b", "c" })
@@ -70,13 +70,13 @@
     CHECK(made.choices(milliseconds(150))["a"] == 0);
     // Where callers accept any pause it is as good as the others.
     CHECK(made.choices(milliseconds(0))["a"] > 50);
-    // With the others full its ranks serve, though late.
+    // With the others full its ranks get requests, although they are late.
     made.setRequests("b", capacity);
     made.setRequests("c", capacity);
     CHECK(made.choices(milliseconds(150))["a"] > 250);
 }
 
-TEST_CASE("a group in which demand has just shifted gets what it can run in time")
+TEST_CASE("a group in which demand has just shifted gets only what it can run in time")
 {
     fleet made;
     const group_strain shifted { 3, 1 };
--- a/Tests/platform/upstream-choice/fleet_model.cpp
+++ b/Tests/platform/upstream-choice/fleet_model.cpp
@@ -6,7 +6,7 @@
 
     const instant zero {};
     const std::string service = "model";
-    // Of a target of 600 ms about 200 go for the first event of a request that runs.
+    // Of a target of 600 ms a running request needs about 200 ms until its first event.
     constexpr milliseconds longestWait { 400 };
     constexpr double deviation = 0.8;
 
@@ -46,24 +46,24 @@
             for (int i = 0; i < load.entries; ++i)
                 m_entries.push_back(std::make_unique<entry_vm>());
             for (int i = 0; i < load.servers; ++i)
-                m_backends.list({ idOf(i), service, "10.0.0.1:" + std::to_string(i), zoneOf(i), load.places, false, 1 });
+                m_backends.list({ idOf(i), service, "10.0.0.1:" + std::to_string(i), zoneOf(i), load.slots, false, 1 });
         }
 
-        waits run(milliseconds length)
+        wait_shares run(milliseconds length)
         {
             const instant until = zero + length;
-            instant nextLook = zero;
+            instant nextPoll = zero;
             std::exponential_distribution<double> pause(m_load.requestsPerSecond / 1'000);
             double arrivalMs = 0;
             while (m_now < until) {
                 arrivalMs += pause(m_random);
                 m_now = zero + milliseconds(static_cast<std::int64_t>(arrivalMs));
-                for (; nextLook <= m_now; nextLook += m_load.lookPause) {
-                    endRuns(nextLook);
-                    look(nextLook);
+                for (; nextPoll <= m_now; nextPoll += m_load.pollInterval) {
+                    endRuns(nextPoll);
+                    poll(nextPoll);
                 }
                 endRuns(m_now);
-                tell();
+                deliverPolls();
                 arrive();
             }
             return { static_cast<double>(m_late) / m_requests, static_cast<double>(m_queued) / m_requests };
@@ -95,22 +95,22 @@
             m_ends.push({ at + run, index, entry });
         }
 
-        void look(instant at)
+        void poll(instant at)
         {
-            load_report_by_hash seen;
+            load_report_by_hash counts;
             for (int i = 0; i < m_load.servers; ++i) {
                 const server& each = m_servers[static_cast<std::size_t>(i)];
-                seen[backendHash(idOf(i))] = { each.running + static_cast<int>(each.queue.size()), 0, 1 };
+                counts[backendHash(idOf(i))] = { each.running + static_cast<int>(each.queue.size()), 0, 1 };
             }
-            m_looks.push_back({ at + m_load.lookAge, std::move(seen) });
+            m_polls.push_back({ at + m_load.pollDelay, std::move(counts) });
         }
 
-        void tell()
+        void deliverPolls()
         {
-            while (!m_looks.empty() && m_looks.front().first <= m_now) {
+            while (!m_polls.empty() && m_polls.front().first <= m_now) {
                 for (auto& entry : m_entries)
-                    entry->loads.noteRanks(m_looks.front().second, m_now);
-                m_looks.pop_front();
+                    entry->loads.noteRanks(m_polls.front().second, m_now);
+                m_polls.pop_front();
             }
         }
 
@@ -118,21 +118,21 @@
         {
             const int index = std::uniform_int_distribution<int>(0, m_load.entries - 1)(m_random);
             entry_vm& entry = *m_entries[static_cast<std::size_t>(index)];
-            upstream_question question;
-            question.service = service;
-            question.costs = costs();
-            question.promptTokens = 700;
-            question.ownZone = zoneOf(index);
-            question.now = m_now;
-            question.longestGap = m_load.longestGap;
-            const std::string id = upstream_choice().choose(question, m_backends, entry.loads, entry.groups, entry.backpressure, m_random);
+            upstream_question input;
+            input.service = service;
+            input.costs = costs();
+            input.promptTokens = 700;
+            input.ownZone = zoneOf(index);
+            input.now = m_now;
+            input.longestGap = m_load.longestGap;
+            const std::string id = upstream_choice().choose(input, m_backends, entry.loads, entry.groups, entry.backpressure, m_random);
             const int chosen = std::stoi(id.substr(1)) - 1'000;
             entry.loads.noteSent(id, 0, m_now);
             const double spread = std::lognormal_distribution<double>(-deviation * deviation / 2, deviation)(m_random);
             const milliseconds run(static_cast<std::int64_t>(m_load.meanRunMs * spread));
             ++m_requests;
             server& at = m_servers[static_cast<std::size_t>(chosen)];
-            if (at.running < m_load.places) {
+            if (at.running < m_load.slots) {
                 begin(chosen, index, run, m_now);
                 return;
             }
@@ -147,7 +147,7 @@
             made.perSequenceMs = 2;
             made.stepsPerPass = 6;
             made.prefillTokensPerMs = 61;
-            made.capacity = m_load.places;
+            made.capacity = m_load.slots;
             return made;
         }
 
@@ -158,7 +158,7 @@
         std::vector<std::unique_ptr<entry_vm>> m_entries;
         std::vector<server> m_servers;
         std::priority_queue<end_of_run, std::vector<end_of_run>, std::greater<>> m_ends;
-        std::deque<std::pair<instant, load_report_by_hash>> m_looks;
+        std::deque<std::pair<instant, load_report_by_hash>> m_polls;
         int m_requests = 0;
         int m_late = 0;
         int m_queued = 0;
@@ -166,7 +166,7 @@
 
 } // namespace
 
-waits runFleet(const fleet_load& load, milliseconds length, std::uint32_t seed)
+wait_shares runFleet(const fleet_load& load, milliseconds length, std::uint32_t seed)
 {
     return model(load, seed).run(length);
 }
--- a/Tests/platform/upstream-choice/stale_counts.cpp
+++ b/Tests/platform/upstream-choice/stale_counts.cpp
@@ -5,17 +5,17 @@
 
 using namespace rampgap;
 
-TEST_CASE("with 0.7 of the places taken few requests wait long at a full rank while others have room")
+TEST_CASE("with 0.7 of the slots taken few requests wait long at a full rank while others have free slots")
 {
     fleet_load load;
     load.requestsPerSecond = 350;
-    waits mean;
+    wait_shares mean;
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
-        const waits seen = runFleet(load, milliseconds(20'000), seed);
+        const wait_shares seen = runFleet(load, milliseconds(20'000), seed);
         mean.late += seen.late / 3;
         mean.queued += seen.queued / 3;
     }
-    // Six servers compared: 0.032 and 0.074.
+    // With six servers compared instead of four: 0.032 and 0.074.
     CHECK(mean.late < 0.026);
     CHECK(mean.queued < 0.068);
 }
@@ -24,8 +24,8 @@
 {
     fleet_load load;
     load.requestsPerSecond = 350;
-    load.lookPause = milliseconds(100);
-    load.lookAge = milliseconds(70);
+    load.pollInterval = milliseconds(100);
+    load.pollDelay = milliseconds(70);
     CHECK(runFleet(load, milliseconds(20'000), 1).late < 0.014);
 }
 
@@ -39,7 +39,7 @@
 {
     fleet_load load;
     load.requestsPerSecond = 350;
-    const waits any = runFleet(load, milliseconds(20'000), 1);
+    const wait_shares any = runFleet(load, milliseconds(20'000), 1);
     load.longestGap = milliseconds(200);
     CHECK(runFleet(load, milliseconds(20'000), 1).late == any.late);
 }
--- a/Tests/platform/upstream-choice/test.cpp
+++ b/Tests/platform/upstream-choice/test.cpp
@@ -26,19 +26,19 @@
 
 upstream_question ask(const std::vector<std::string>& tried = {})
 {
-    upstream_question question;
-    question.service = "model";
+    upstream_question input;
+    input.service = "model";
     engine_costs costs;
     costs.stepMs = 4.5;
     costs.perSequenceMs = 0.9;
     costs.stepsPerPass = 4;
     costs.prefillTokensPerMs = 61;
-    question.costs = costs;
-    question.promptTokens = 800;
-    question.tried = tried;
-    question.ownZone = "a";
-    question.now = zero;
-    return question;
+    input.costs = costs;
+    input.promptTokens = 800;
+    input.tried = tried;
+    input.ownZone = "a";
+    input.now = zero;
+    return input;
 }
 
 } // namespace
@@ -72,7 +72,7 @@
         CHECK(choice.choose(ask(), made.backends, made.loads, made.groups, made.backpressure, made.random) == "s7");
 }
 
-TEST_CASE("a server that was tried or is avoided is left out, unless nothing else is left")
+TEST_CASE("a server that was tried or is avoided is chosen only if no other is left")
 {
     fleet made;
     addServers(made, 2);
@@ -85,12 +85,12 @@
     CHECK(choice.choose(ask({ "s0", "s1" }), made.backends, made.loads, made.groups, made.backpressure, made.random).empty());
 }
 
-TEST_CASE("an avoided server gets nothing, also while the others have more to do")
+TEST_CASE("an avoided server gets no requests even if the others have more load")
 {
     fleet made;
     addServers(made, 3);
     made.backends.noteResult("s1", try_result::silent, zero);
-    // Answers since then have all but cleared its record; the pause still holds.
+    // Answers since then have brought its failure share close to 0, but the pause still holds.
     for (int i = 0; i < 40; ++i)
         made.backends.noteResult("s1", try_result::answered, zero);
     made.loads.noteRanks({ { backendHash("s0"), { 10, 0, 1 } }, { backendHash("s2"), { 10, 0, 1 } }, { backendHash("s1"), { 0, 0, 1 } } }, zero);
@@ -99,7 +99,7 @@
         CHECK(choice.choose(ask(), made.backends, made.loads, made.groups, made.backpressure, made.random) != "s1");
 }
 
-TEST_CASE("counts of the engines go before reports of peers, and grow by what was sent since")
+TEST_CASE("counts of the engines override reports of peers, and include what was sent since")
 {
     load_board loads(milliseconds(600));
     loads.notePeer("p", { { backendHash("s"), { 9, 100, 1 } } }, zero);
@@ -114,11 +114,11 @@
     CHECK(loads.total("s", zero + milliseconds(700)).requests == 0);
 }
 
-TEST_CASE("only servers that a leader has counted are known to be ranks of its group")
+TEST_CASE("only servers that a leader has reported are known to be ranks of its group")
 {
     load_board loads(milliseconds(400));
-    CHECK_FALSE(loads.counted("a"));
+    CHECK_FALSE(loads.isKnownRank("a"));
     loads.noteRanks({ { backendHash("a"), { 2, 0, 1 } } }, instant {});
-    CHECK(loads.counted("a"));
-    CHECK_FALSE(loads.counted("b"));
+    CHECK(loads.isKnownRank("a"));
+    CHECK_FALSE(loads.isKnownRank("b"));
 }
