--- a/Source/policy/home_guard.cpp
+++ b/Source/policy/home_guard.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    constexpr std::size_t keeperCount = 2;
-    constexpr milliseconds soon { 1'000 };
+    constexpr std::size_t standbyCount = 2;
+    constexpr milliseconds defaultRetryAfter { 1'000 };
 
     failure refuse(failure_reason reason, std::string message, duration retryAfter)
     {
@@ -23,9 +23,9 @@
 
 } // namespace
 
-std::vector<std::string> keepersOf(const std::string& owner, const std::vector<std::string>& homes)
+std::vector<std::string> keepersOf(const std::string& owner, const std::vector<std::string>& owners)
 {
-    return rendezvousRank(owner, without(homes, owner), keeperCount);
+    return rendezvousRank(owner, without(owners, owner), standbyCount);
 }
 
 home_guard::home_guard(std::string self, std::uint64_t incarnation, instant startedAt)
@@ -43,72 +43,72 @@
     const backend_declaration* own = current.findBackend(m_self);
     const std::string service = own ? own->serves : "";
     const bool known = m_declaration.has_value();
-    // Homes of a revision that was never seen are unknown: prove everything anew.
+    // The owners of a skipped revision are unknown, so everything must be confirmed again.
     const bool skipped = known && current.link().baseRevision != m_revision;
 
-    std::vector<std::string> homes = current.homesOf(service);
+    std::vector<std::string> owners = current.homesOf(service);
     if (skipped)
-        restartProof(now);
-    else if (known && m_declaration->homesOf(service) != homes)
+        restartConfirmation(now);
+    else if (known && m_declaration->homesOf(service) != owners)
         addTransition(m_declaration->homesOf(service), current, now);
-    dropStoppedHomes(current, now);
+    dropStoppedOwners(current, now);
 
-    m_homes = std::move(homes);
+    m_owners = std::move(owners);
     m_peers = without(current.poolOf(service), m_self);
     m_revision = current.link().revision;
     m_declaration = current;
-    updateProof(now);
+    updateConfirmation(now);
 }
 
-void home_guard::restartProof(instant now)
+void home_guard::restartConfirmation(instant now)
 {
     m_quarantineFrom = now;
-    m_memoryBack = false;
-    m_proven = false;
+    m_memoryRestored = false;
+    m_revisionConfirmed = false;
     m_transitions.clear();
 }
 
-void home_guard::addTransition(const std::vector<std::string>& previousHomes, const declaration& current, instant now)
+void home_guard::addTransition(const std::vector<std::string>& previousOwners, const declaration& current, instant now)
 {
-    transition change { previousHomes, {}, {}, now + m_idLife };
-    for (const auto& name : without(previousHomes, m_self))
-        change.missing.insert(name);
+    transition change { previousOwners, {}, {}, now + m_idLife };
+    for (const auto& name : without(previousOwners, m_self))
+        change.pending.insert(name);
     m_transitions.push_back(std::move(change));
-    dropStoppedHomes(current, now);
+    dropStoppedOwners(current, now);
 }
 
-// A home that is declared stopped, or no more declared, can hand nothing over.
-void home_guard::dropStoppedHomes(const declaration& current, instant now)
+// An owner that is declared stopped, or no longer declared, cannot hand anything over.
+void home_guard::dropStoppedOwners(const declaration& current, instant now)
 {
     for (auto& change : m_transitions) {
         const auto stopped = [&](const std::string& name) {
-            const backend_declaration* home = current.findBackend(name);
-            return !home || home->stopped;
+            const backend_declaration* owner = current.findBackend(name);
+            return !owner || owner->stopped;
         };
-        for (auto name = change.missing.begin(); name != change.missing.end();) {
+        for (auto name = change.pending.begin(); name != change.pending.end();) {
             if (!stopped(*name)) {
                 ++name;
                 continue;
             }
             change.lost.insert(*name);
             change.lostUntil = now + m_idLife;
-            name = change.missing.erase(name);
+            name = change.pending.erase(name);
         }
     }
-    // Handed-over ids are in the ledger, so a complete change need not be kept.
+    // Handed-over ids are in the ledger, so a completed change need not be kept.
     std::erase_if(m_transitions, [&](const transition& change) {
-        return change.missing.empty() && (change.lost.empty() || now >= change.lostUntil) && majorityAtRevision();
+        return change.pending.empty() && (change.lost.empty() || now >= change.lostUntil) && majorityAtRevision();
     });
 }
 
 void home_guard::notePeer(const agent_standing& peer, instant now)
 {
-    agent_standing& known = m_standings[peer.name];
-    // A late answer of an earlier incarnation or revision says nothing new.
+    agent_standing& known = m_statuses[peer.name];
+    // A late answer of an earlier incarnation or revision is outdated.
     const bool older = peer.incarnation < known.incarnation || (peer.incarnation == known.incarnation && peer.revision < known.revision);
     if (!older)
         known = peer;
-    updateProof(now);
+    updateConfirmation(now);
 }
 
 void home_guard::noteHandover(const std::string& owner, std::uint64_t revision)
@@ -116,20 +116,20 @@
     if (revision < m_revision)
         return;
     for (auto& change : m_transitions)
-        change.missing.erase(owner);
+        change.pending.erase(owner);
 }
 
-// Under another revision, others may have run ids that are ours now: only the same
-// revision makes the returned memory complete.
+// At another revision, other agents may have run ids that are ours now: the returned ids are
+// complete only at the same revision.
 void home_guard::noteMemoryBack(std::uint64_t revision)
 {
     if (revision == m_revision)
-        m_memoryBack = true;
+        m_memoryRestored = true;
 }
 
 bool home_guard::acceptGrant(const std::string& owner, std::uint64_t revision, instant until)
 {
-    if (revision != m_revision || m_gaveAway)
+    if (revision != m_revision || m_ownershipReleased)
         return false;
     m_grants[owner] = { revision, until };
     return true;
@@ -150,8 +150,8 @@
 bool home_guard::majorityAtRevision() const
 {
     const auto agreed = std::count_if(m_peers.begin(), m_peers.end(), [&](const std::string& name) {
-        const auto peer = m_standings.find(name);
-        return peer != m_standings.end() && peer->second.revision >= m_revision;
+        const auto peer = m_statuses.find(name);
+        return peer != m_statuses.end() && peer->second.revision >= m_revision;
     });
     return 2 * (static_cast<std::size_t>(agreed) + 1) > m_peers.size() + 1;
 }
@@ -160,65 +160,64 @@
 {
     std::vector<std::string> names;
     for (const auto& name : m_peers) {
-        const auto peer = m_standings.find(name);
-        if (peer == m_standings.end() || peer->second.revision != m_revision)
+        const auto peer = m_statuses.find(name);
+        if (peer == m_statuses.end() || peer->second.revision != m_revision)
             names.push_back(name);
     }
     return names;
 }
 
-// After a start the agent knows neither whether its revision is stale nor which agents
-// still act on an older one. Both are settled once each agent of the pool shows the same
-// revision: an agent with a later one would show it, one with an older one would lag.
-// The quarantine counts from then: until then others may have run ids that are ours.
-void home_guard::updateProof(instant now)
+// After a start the agent knows neither whether its revision is stale nor which agents still act
+// on an older one. Neither is possible once every agent of the pool has reported the same revision.
+// The quarantine counts from then, because other agents may have run our ids before.
+void home_guard::updateConfirmation(instant now)
 {
-    if (m_proven || m_revision == 0 || !proofsMissing().empty())
+    if (m_revisionConfirmed || m_revision == 0 || !proofsMissing().empty())
         return;
-    m_proven = true;
+    m_revisionConfirmed = true;
     m_quarantineFrom = now;
 }
 
 bool home_guard::inQuarantine(instant now) const
 {
-    return !m_memoryBack && now - m_quarantineFrom < m_idLife;
+    return !m_memoryRestored && now - m_quarantineFrom < m_idLife;
 }
 
-// Own runs are enough: who asks has its own record of every change of homes since its
-// proof, and asks each former home itself. To wait for handovers here as well would let
-// two agents wait for each other for ever.
-bool home_guard::vouches(instant now) const
+// Knowing our own runs is enough: the agent that asks tracks every change of owners since its own
+// confirmation and asks each previous owner itself. If we waited for handovers here as well, two
+// agents could wait for each other forever.
+bool home_guard::remembersAllRuns(instant now) const
 {
-    return m_proven && !inQuarantine(now);
+    return m_revisionConfirmed && !inQuarantine(now);
 }
 
 bool home_guard::mayGiveAway(instant now) const
 {
     const bool settled = std::all_of(m_transitions.begin(), m_transitions.end(), [&](const transition& change) {
-        return change.missing.empty() && (change.lost.empty() || now >= change.lostUntil);
+        return change.pending.empty() && (change.lost.empty() || now >= change.lostUntil);
     });
-    return vouches(now) && settled;
+    return remembersAllRuns(now) && settled;
 }
 
-bool home_guard::isHome(const std::string& home, instant now) const
+bool home_guard::ownsIdsOf(const std::string& owner, instant now) const
 {
-    if (home == m_self)
+    if (owner == m_self)
         return true;
-    const auto found = m_grants.find(home);
+    const auto found = m_grants.find(owner);
     return found != m_grants.end() && found->second.revision == m_revision && now < found->second.until;
 }
 
 result<void> home_guard::check(const request_id& id, instant now) const
 {
     const std::string text = id.text();
-    if (m_gaveAway)
-        return refuse(failure_reason::leaving, "this backend server is leaving", soon);
-    if (!isHome(std::string(rendezvousPick(text, m_homes)), now))
-        return refuse(failure_reason::not_home, "this backend server is not the home of the id", soon);
-    if (!m_proven)
-        return refuse(failure_reason::unproven, "not all agents of the pool have shown the same revision since the start", soon);
+    if (m_ownershipReleased)
+        return refuse(failure_reason::leaving, "this backend server is leaving", defaultRetryAfter);
+    if (!ownsIdsOf(std::string(rendezvousPick(text, m_owners)), now))
+        return refuse(failure_reason::not_home, "this backend server is not the owner of the id", defaultRetryAfter);
+    if (!m_revisionConfirmed)
+        return refuse(failure_reason::unproven, "not all agents of the pool have reported the same revision since the start", defaultRetryAfter);
     if (inQuarantine(now))
-        return refuse(failure_reason::unproven, "started without memory: it cannot prove that the id has not run", m_memorySought ? m_quarantineFrom + m_idLife - now : duration(soon));
+        return refuse(failure_reason::unproven, "restarted without the ids of the previous run: cannot rule out that the id has run", m_memoryUnavailable ? m_quarantineFrom + m_idLife - now : duration(defaultRetryAfter));
     for (const auto& change : m_transitions) {
         auto settled = checkTransition(change, text, now);
         if (!settled)
@@ -229,13 +228,13 @@
 
 result<void> home_guard::checkTransition(const transition& change, const std::string& idText, instant now) const
 {
-    const std::string previous(rendezvousPick(idText, change.previousHomes));
+    const std::string previous(rendezvousPick(idText, change.previousOwners));
     if (previous == m_self || previous.empty())
         return boost::outcome_v2::success();
-    if (change.missing.contains(previous) || !majorityAtRevision())
-        return refuse(failure_reason::unproven, "the id's previous home has not handed over", soon);
+    if (change.pending.contains(previous) || !majorityAtRevision())
+        return refuse(failure_reason::unproven, "the id's previous owner has not handed it over", defaultRetryAfter);
     if (change.lost.contains(previous) && now < change.lostUntil)
-        return refuse(failure_reason::unproven, "the id's previous home stopped without a handover", change.lostUntil - now);
+        return refuse(failure_reason::unproven, "the id's previous owner stopped without a handover", change.lostUntil - now);
     return boost::outcome_v2::success();
 }
 
@@ -243,13 +242,13 @@
 {
     std::set<std::string> names;
     for (const auto& change : m_transitions)
-        names.insert(change.missing.begin(), change.missing.end());
+        names.insert(change.pending.begin(), change.pending.end());
     return { names.begin(), names.end() };
 }
 
-std::vector<std::string> home_guard::keepers() const
+std::vector<std::string> home_guard::standbys() const
 {
-    return keepersOf(m_self, m_homes);
+    return keepersOf(m_self, m_owners);
 }
 
 } // namespace rampgap
--- a/Source/policy/home_guard.h
+++ b/Source/policy/home_guard.h
@@ -1,4 +1,5 @@
-// Decides whether this agent may run an id: it is the id's one home and can prove the id unseen.
+// Decides whether this agent may run a request id: it must be the id's only owner and certain that
+// the id has not run.
 #pragma once
 
 #include "policy/declaration.h"
@@ -13,7 +14,7 @@
 
 namespace rampgap {
 
-// What an agent says of itself to the others of its pool.
+// State that an agent reports to the other agents of its pool.
 struct agent_standing {
     std::string name;
     std::uint64_t incarnation = 0;
@@ -22,56 +23,57 @@
     bool operator==(const agent_standing&) const = default;
 };
 
-// The home of an id is fixed by rendezvous hashing over the declared backends. The guard
-// refuses an id until (a) after a start, every agent of the pool has shown that it has our
-// revision, (b) the id life has passed since then, or the memory came back, and (c) after a change of homes, the previous home has handed its ids over.
+// Rendezvous hashing over the declared backends gives the owner of an id. The guard refuses an id
+// until (a) after a start, every agent of the pool has reported our revision, (b) the id life has
+// passed since then, or the record of the previous incarnation's ids was restored, and (c) after a
+// change of owners, the previous owner has handed its ids over.
 class home_guard {
 public:
     home_guard(std::string self, std::uint64_t incarnation, instant startedAt);
 
-    // A declaration came in force; revisions only rise.
+    // A declaration came into force; revisions only increase.
     void apply(const declaration&, instant now);
     // Another agent of the pool answered.
     void notePeer(const agent_standing&, instant now);
     // `owner` handed its ids over while it was at `revision`.
     void noteHandover(const std::string& owner, std::uint64_t revision);
-    // The memory of the last incarnation, given away at `revision`, came back.
+    // A standby returned the ids of the previous incarnation, which it took over at `revision`.
     void noteMemoryBack(std::uint64_t revision);
-    // No agent keeps our memory, as far as the keepers say: the quarantine is served out.
-    void noteNoMemory() { m_memorySought = true; }
-    // Until `until`, ids of `owner` are ours by its own grant, made at `revision`.
-    // False if our revision is another one.
+    // As far as known, no standby holds ids of the previous incarnation: the quarantine lasts its full time.
+    void noteNoMemory() { m_memoryUnavailable = true; }
+    // `owner` grants its ids to this agent until `until`, as of `revision`. False if our revision
+    // is another one or we have released our own ids.
     bool acceptGrant(const std::string& owner, std::uint64_t revision, instant until);
-    // The owner takes its grant back; the revision of the grant if there was one.
+    // The owner withdraws its grant; the revision of the grant if it was still valid.
     std::optional<std::uint64_t> withdrawGrant(const std::string& owner, instant now);
-    // Our own ids were given to another agent, or we are leaving: nothing new runs here.
-    void giveAway() { m_gaveAway = true; }
+    // Our ids were granted to another agent, or we are leaving: no new id runs here.
+    void releaseOwnership() { m_ownershipReleased = true; }
 
     result<void> check(const request_id&, instant now) const;
 
-    agent_standing standing() const { return { m_self, m_incarnation, m_revision }; }
-    // True if this agent remembers all that it ran within the id life.
-    bool vouches(instant now) const;
-    // True if another agent may run this agent's ids with this agent's memory alone.
+    agent_standing status() const { return { m_self, m_incarnation, m_revision }; }
+    // True if this agent knows all ids that it ran within the id life.
+    bool remembersAllRuns(instant now) const;
+    // True if another agent may own this agent's ids with what this agent knows alone.
     bool mayGiveAway(instant now) const;
-    // Names of the agents whose handover is still missing.
+    // Names of the agents whose handover is still pending.
     std::vector<std::string> handoversMissing() const;
-    // Agents of the pool that have not yet shown our revision.
+    // Agents of the pool that have not yet reported our revision.
     std::vector<std::string> proofsMissing() const;
-    // Agents that may keep this agent's ids while it restarts, in order of preference.
-    std::vector<std::string> keepers() const;
+    // Agents that may hold this agent's ids while it restarts, in order of preference.
+    std::vector<std::string> standbys() const;
     bool inQuarantine(instant now) const;
-    // True once every agent of the pool has shown our revision after our start.
-    bool proven() const { return m_proven; }
-    // True if nothing is to be asked of other agents.
-    bool settled() const { return m_proven && handoversMissing().empty() && majorityAtRevision(); }
+    // True once every agent of the pool has reported our revision after our start.
+    bool revisionConfirmed() const { return m_revisionConfirmed; }
+    // True if no confirmation and no handover of another agent is pending.
+    bool allConfirmed() const { return m_revisionConfirmed && handoversMissing().empty() && majorityAtRevision(); }
 
 private:
-    // One change of homes whose former homes may still hold ids.
+    // A change of owners whose previous owners may not have handed their ids over.
     struct transition {
-        std::vector<std::string> previousHomes;
-        std::set<std::string> missing;
-        // Homes that stopped without a handover: their ids wait until `lostUntil`.
+        std::vector<std::string> previousOwners;
+        std::set<std::string> pending;
+        // Owners that stopped without a handover: their ids are refused until `lostUntil`.
         std::set<std::string> lost;
         instant lostUntil;
     };
@@ -80,12 +82,12 @@
         instant until;
     };
 
-    void restartProof(instant now);
-    void addTransition(const std::vector<std::string>& previousHomes, const declaration&, instant now);
-    void dropStoppedHomes(const declaration&, instant now);
-    void updateProof(instant now);
+    void restartConfirmation(instant now);
+    void addTransition(const std::vector<std::string>& previousOwners, const declaration&, instant now);
+    void dropStoppedOwners(const declaration&, instant now);
+    void updateConfirmation(instant now);
     bool majorityAtRevision() const;
-    bool isHome(const std::string& home, instant now) const;
+    bool ownsIdsOf(const std::string& owner, instant now) const;
     result<void> checkTransition(const transition&, const std::string& idText, instant now) const;
 
     std::string m_self;
@@ -93,19 +95,19 @@
     instant m_quarantineFrom;
     milliseconds m_idLife { 0 };
     std::uint64_t m_revision = 0;
-    bool m_proven = false;
-    bool m_memoryBack = false;
-    bool m_memorySought = false;
-    bool m_gaveAway = false;
+    bool m_revisionConfirmed = false;
+    bool m_memoryRestored = false;
+    bool m_memoryUnavailable = false;
+    bool m_ownershipReleased = false;
     std::optional<declaration> m_declaration;
-    std::vector<std::string> m_homes;
+    std::vector<std::string> m_owners;
     std::vector<std::string> m_peers;
     std::vector<transition> m_transitions;
-    std::map<std::string, agent_standing> m_standings;
+    std::map<std::string, agent_standing> m_statuses;
     std::map<std::string, grant> m_grants;
 };
 
-// The agents, in order, that may keep the ids of `owner` while it restarts.
-std::vector<std::string> keepersOf(const std::string& owner, const std::vector<std::string>& homes);
+// The agents that may hold the ids of `owner` while it restarts, in order of preference.
+std::vector<std::string> keepersOf(const std::string& owner, const std::vector<std::string>& owners);
 
 } // namespace rampgap
