--- a/Source/policy/item_order.h
+++ b/Source/policy/item_order.h
@@ -1,5 +1,5 @@
-// The order of the versions of an item by what they say themselves. Revisions do not give it
-// where the store was restored from an older copy.
+// Order of the versions of an item by their own content. Store revisions do not give this order
+// once the store was restored from an older copy.
 #pragma once
 
 #include "policy/published_item.h"
@@ -8,14 +8,14 @@
 
 namespace rampgap {
 
-// Stages of one life; none goes back to an earlier one.
+// Stages of one generation of an item, in the order in which it passes through them.
 enum class item_stage { current,
     leaving,
     removed };
 
 struct item_rank {
-    // Version of a configuration, or start of a server's process: what has a higher one is later.
-    std::uint64_t life = 0;
+    // Version of a configuration, or start of a server's process; a higher one is later.
+    std::uint64_t generation = 0;
     item_stage stage = item_stage::current;
 
     auto operator<=>(const item_rank&) const = default;
@@ -25,9 +25,9 @@
 public:
     virtual ~item_order() = default;
 
-    // Empty for an item that cannot be read or has no order: anything outranks it.
+    // Empty for an item that cannot be parsed or has no order: every ranked item outranks it.
     virtual std::optional<item_rank> rank(const published_item&) const = 0;
-    // True if the item holds on where the store shows nothing under its key.
+    // True if the item stays in force while the store lists nothing under its key.
     virtual bool holdsUnlisted(const published_item&) const = 0;
 };
 
--- a/Source/policy/peer_table.cpp
+++ b/Source/policy/peer_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    constexpr std::size_t nearTenths = 7;
+    constexpr std::size_t ownZoneTenths = 7;
 
 } // namespace
 
@@ -23,28 +23,28 @@
 {
     if (peer.host == m_self.host)
         return false;
-    const auto held = m_peers.find(peer.host);
-    const bool isNew = held == m_peers.end() || held->second.info.incarnation < peer.incarnation;
-    if (!isNew && held->second.info.incarnation > peer.incarnation)
+    const auto known = m_peers.find(peer.host);
+    const bool isNew = known == m_peers.end() || known->second.info.incarnation < peer.incarnation;
+    if (!isNew && known->second.info.incarnation > peer.incarnation)
         return false;
     m_peers[peer.host] = { peer, now };
-    countEntries();
+    updateMaxLiveEntries();
     return isNew;
 }
 
-void peer_table::noteTold(const peer_info& peer, milliseconds age, instant now)
+void peer_table::mergeReport(const peer_info& peer, milliseconds age, instant now)
 {
-    if (peer.host == m_self.host || age >= silenceNow())
+    if (peer.host == m_self.host || age >= silenceLimit())
         return;
-    const auto held = m_peers.find(peer.host);
+    const auto known = m_peers.find(peer.host);
     const instant heardAt = now - age;
-    if (held == m_peers.end()) {
+    if (known == m_peers.end()) {
         m_peers[peer.host] = { peer, heardAt };
-    } else if (held->second.info.incarnation <= peer.incarnation) {
-        held->second.info = peer;
-        held->second.heardAt = std::max(held->second.heardAt, heardAt);
+    } else if (known->second.info.incarnation <= peer.incarnation) {
+        known->second.info = peer;
+        known->second.heardAt = std::max(known->second.heardAt, heardAt);
     }
-    countEntries();
+    updateMaxLiveEntries();
 }
 
 void peer_table::noteLeaving(const std::string& host)
@@ -52,10 +52,10 @@
     m_peers.erase(host);
 }
 
-// What one process says reaches all others in rounds whose number grows with the logarithm of
-// the fleet. Of 149 processes with a fixed 3 s, each took 2 others a second for gone that were
-// not (10,500 losses in 30 s, counted in the logs of a quiet day).
-milliseconds peer_table::silenceNow() const
+// The rounds in which gossip reaches all processes grow in number with the logarithm of the fleet's
+// size. With a fixed 3 s, each of 149 processes wrongly dropped two others per second (10,500 losses
+// in 30 s, counted in the logs of a day without faults).
+milliseconds peer_table::silenceLimit() const
 {
     const double spread = static_cast<double>(count(peer_role::entry) + 1) / static_cast<double>(gossipFanout);
     return milliseconds(static_cast<std::int64_t>(static_cast<double>(m_silence.count()) * (1 + std::log(std::max(1.0, spread)))));
@@ -63,10 +63,10 @@
 
 std::vector<std::string> peer_table::dropSilent(instant now)
 {
-    const milliseconds silence = silenceNow();
+    const milliseconds silence = silenceLimit();
     std::vector<std::string> dropped;
-    for (const auto& [host, held] : m_peers) {
-        if (now - held.heardAt >= silence)
+    for (const auto& [host, known] : m_peers) {
+        if (now - known.heardAt >= silence)
             dropped.push_back(host);
     }
     for (const auto& host : dropped)
@@ -82,22 +82,22 @@
 std::vector<peer_info> peer_table::live(peer_role role) const
 {
     std::vector<peer_info> found;
-    for (const auto& [host, held] : m_peers) {
-        if (held.info.role == role)
-            found.push_back(held.info);
+    for (const auto& [host, known] : m_peers) {
+        if (known.info.role == role)
+            found.push_back(known.info);
     }
     return found;
 }
 
 std::size_t peer_table::count(peer_role role) const
 {
-    return static_cast<std::size_t>(std::count_if(m_peers.begin(), m_peers.end(), [role](const auto& held) { return held.second.info.role == role; }));
+    return static_cast<std::size_t>(std::count_if(m_peers.begin(), m_peers.end(), [role](const auto& known) { return known.second.info.role == role; }));
 }
 
-void peer_table::countEntries()
+void peer_table::updateMaxLiveEntries()
 {
     const std::size_t own = m_self.role == peer_role::entry ? 1 : 0;
-    m_mostEntries = std::max(m_mostEntries, count(peer_role::entry) + own);
+    m_maxLiveEntries = std::max(m_maxLiveEntries, count(peer_role::entry) + own);
 }
 
 std::vector<std::string> peer_table::otherSeeds() const
@@ -109,9 +109,9 @@
 
 std::vector<std::string> peer_table::seedsToAsk() const
 {
-    std::vector<std::string> ask = otherSeeds();
-    std::erase_if(ask, [this](const std::string& host) { return m_peers.contains(host); });
-    return ask;
+    std::vector<std::string> missing = otherSeeds();
+    std::erase_if(missing, [this](const std::string& host) { return m_peers.contains(host); });
+    return missing;
 }
 
 std::string peer_table::pickedEntry(std::string_view key) const
@@ -124,8 +124,8 @@
 
 milliseconds peer_table::age(const std::string& host, instant now) const
 {
-    const auto held = m_peers.find(host);
-    return held == m_peers.end() ? m_silence : std::chrono::duration_cast<milliseconds>(now - held->second.heardAt);
+    const auto known = m_peers.find(host);
+    return known == m_peers.end() ? m_silence : std::chrono::duration_cast<milliseconds>(now - known->second.heardAt);
 }
 
 std::vector<peer_info> peer_table::sample(peer_role role, std::size_t count, std::mt19937_64& random) const
@@ -141,7 +141,7 @@
 {
     std::vector<peer_info> all = sample(role, m_peers.size(), random);
     const auto near = std::stable_partition(all.begin(), all.end(), [this](const peer_info& peer) { return peer.zone == m_self.zone; });
-    const std::size_t farWanted = std::min(count - count * nearTenths / 10, static_cast<std::size_t>(all.end() - near));
+    const std::size_t farWanted = std::min(count - count * ownZoneTenths / 10, static_cast<std::size_t>(all.end() - near));
     const std::size_t nearWanted = std::min(count - farWanted, static_cast<std::size_t>(near - all.begin()));
     std::vector<peer_info> chosen(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(nearWanted));
     const std::size_t rest = std::min(count - nearWanted, static_cast<std::size_t>(all.end() - near));
--- a/Source/policy/peer_table.h
+++ b/Source/policy/peer_table.h
@@ -15,7 +15,7 @@
 enum class peer_role { entry,
     agent };
 
-// Peers that a process tells of itself at a time.
+// Number of peers to which a process sends its own state in one round of gossip.
 inline constexpr std::size_t gossipFanout = 12;
 
 // One process. A higher incarnation is a later start at the same address.
@@ -28,19 +28,19 @@
     bool operator==(const peer_info&) const = default;
 };
 
-// Who is there, by what each was heard to say or was told about by others.
+// The live processes, by their own messages and by what others report about them.
 class peer_table {
 public:
-    // `silence`: a process not heard of for so long is taken for gone, in a fleet in which each
-    // process tells all others; in a larger one news take longer.
+    // `silence`: time without news after which a process counts as gone, in a fleet so small that
+    // each process sends to all others. In a larger one gossip takes longer, so the time grows.
     peer_table(peer_info self, std::vector<std::string> seedHosts, milliseconds silence);
 
-    // Heard from the process itself. True if it was unknown or has been restarted.
+    // The process itself sent a message. True if it was unknown or has been restarted.
     bool noteHeard(const peer_info&, instant now);
-    // Another process heard from it `age` ago.
-    void noteTold(const peer_info&, milliseconds age, instant now);
+    // Another process reports that it heard from this one `age` ago.
+    void mergeReport(const peer_info&, milliseconds age, instant now);
     void noteLeaving(const std::string& host);
-    // Drops the silent ones; returns their hosts.
+    // Drops the processes that were silent for too long; returns their hosts.
     std::vector<std::string> dropSilent(instant now);
     void setSeeds(std::vector<std::string> seedHosts);
 
@@ -48,22 +48,22 @@
     // Live peers of a role, in a fixed order, without this process.
     std::vector<peer_info> live(peer_role) const;
     std::size_t count(peer_role) const;
-    // Most entry VMs that were live together, this one included.
-    std::size_t mostEntries() const { return m_mostEntries; }
-    // All seeds but this process.
+    // Highest number of entry VMs that were live at the same time, this one included.
+    std::size_t mostEntries() const { return m_maxLiveEntries; }
+    // All seeds except this process.
     std::vector<std::string> otherSeeds() const;
-    // Seeds that are not among the live peers: to be asked until one answers.
+    // Seeds that are not among the live peers: they are contacted until they answer.
     std::vector<std::string> seedsToAsk() const;
-    // Host of the entry VM that is picked for `key`, this one included; all live ones agree on it, but
-    // for news under way.
+    // Host of the entry VM that is responsible for `key`, possibly this one. All live entry VMs agree
+    // on it once they have received the same gossip.
     std::string pickedEntry(std::string_view key) const;
     bool isPickedEntry(std::string_view key) const { return pickedEntry(key) == m_self.host; }
-    // How long ago a peer was heard of.
+    // Time since the last news of a peer.
     milliseconds age(const std::string& host, instant now) const;
     // Up to `count` random live peers.
     std::vector<peer_info> sample(peer_role, std::size_t count, std::mt19937_64&) const;
-    // The same, seven of ten from the own zone where there are so many: bytes between zones
-    // are dear, and what matters most is who else is in the own zone.
+    // The same, seven of ten from the own zone if it has that many: traffic between zones is
+    // expensive, and the processes of the own zone matter most.
     std::vector<peer_info> sampleNear(peer_role, std::size_t count, std::mt19937_64&) const;
     // One random live peer of each zone.
     std::vector<peer_info> onePerZone(peer_role, std::mt19937_64&) const;
@@ -74,14 +74,14 @@
         instant heardAt;
     };
 
-    void countEntries();
-    milliseconds silenceNow() const;
+    void updateMaxLiveEntries();
+    milliseconds silenceLimit() const;
 
     peer_info m_self;
     std::vector<std::string> m_seeds;
     milliseconds m_silence;
     std::map<std::string, entry> m_peers;
-    std::size_t m_mostEntries = 1;
+    std::size_t m_maxLiveEntries = 1;
 };
 
 } // namespace rampgap
--- a/Source/policy/published_item.h
+++ b/Source/policy/published_item.h
@@ -11,7 +11,7 @@
 struct published_item {
     std::string key;
     std::string value;
-    // Of the last change and of the creation.
+    // Store revisions of the last change and of the creation.
     store_revision revision = 0;
     store_revision created = 0;
 
--- a/Source/policy/published_state.cpp
+++ b/Source/policy/published_state.cpp
@@ -26,7 +26,7 @@
 {
 }
 
-std::vector<published_change> published_state::take(const published_snapshot& snapshot, removal meaning)
+std::vector<published_change> published_state::apply(const published_snapshot& snapshot, removal meaning)
 {
     std::vector<published_change> changes;
     if (snapshot.position() < m_position)
@@ -36,41 +36,41 @@
         next.emplace(item.key, item);
     const bool restored = snapshot.epoch != m_position.epoch && !empty();
     if (restored)
-        m_retained.keep(m_items, next);
+        m_retained.retain(m_items, next);
     std::set<std::string> unlisted;
     for (const auto& [key, item] : m_items) {
         if (next.contains(key))
             continue;
         unlisted.insert(key);
-        // Missing from a restored store, it may only have been forgotten.
+        // An item missing from a restored store may merely have been lost by it.
         if (!restored && meaning == removal::gone)
-            m_retained.noteRemoved(item);
+            m_retained.recordRemoval(item);
     }
     m_listed = std::move(next);
     m_position = snapshot.position();
     for (const auto& key : unlisted)
-        refresh(key, changes);
+        updateInForce(key, changes);
     for (const auto& [key, item] : m_listed)
-        refresh(key, changes);
+        updateInForce(key, changes);
     return changes;
 }
 
-std::vector<published_change> published_state::take(const std::vector<published_change>& changes, store_position from, store_revision upTo, removal meaning)
+std::vector<published_change> published_state::apply(const std::vector<published_change>& changes, store_position from, store_revision upTo, removal meaning)
 {
     std::vector<published_change> fresh;
     if (from.epoch != m_position.epoch || from.revision > m_position.revision)
         return fresh;
     for (const auto& change : changes) {
-        const auto* held = listed(change.item.key);
-        if (held && held->revision >= change.item.revision)
+        const auto* current = listed(change.item.key);
+        if (current && current->revision >= change.item.revision)
             continue;
-        if (change.removed && held && meaning == removal::gone)
-            m_retained.noteRemoved(*held);
+        if (change.removed && current && meaning == removal::gone)
+            m_retained.recordRemoval(*current);
         if (change.removed)
             m_listed.erase(change.item.key);
         else
             m_listed[change.item.key] = change.item;
-        refresh(change.item.key, fresh);
+        updateInForce(change.item.key, fresh);
     }
     m_position.revision = std::max(m_position.revision, upTo);
     return fresh;
@@ -83,38 +83,38 @@
 }
 
 // Brings what is in force under a key in line with what is listed and retained.
-void published_state::refresh(const std::string& key, std::vector<published_change>& changes)
+void published_state::updateInForce(const std::string& key, std::vector<published_change>& changes)
 {
-    const auto* shown = listed(key);
-    const auto* next = m_retained.inForce(key, shown);
-    const auto held = m_items.find(key);
-    const bool retained = next != shown;
+    const auto* listedItem = listed(key);
+    const auto* next = m_retained.inForce(key, listedItem);
+    const auto current = m_items.find(key);
+    const bool retained = next != listedItem;
     const bool wasRetained = m_retainedKeys.contains(key);
     if (retained)
         m_retainedKeys.insert(key);
     else
         m_retainedKeys.erase(key);
     if (!next) {
-        if (held == m_items.end())
+        if (current == m_items.end())
             return;
-        m_items.erase(held);
+        m_items.erase(current);
         changes.push_back({ { key, {}, m_position.revision }, true, retained });
         return;
     }
-    const bool same = held != m_items.end() && held->second.value == next->value && held->second.created == next->created && retained == wasRetained;
+    const bool same = current != m_items.end() && current->second.value == next->value && current->second.created == next->created && retained == wasRetained;
     m_items[key] = *next;
     if (!same)
         changes.push_back({ *next, false, retained });
 }
 
-std::vector<published_change> published_state::join(const std::vector<retained_item>& told, bool lastingOnly)
+std::vector<published_change> published_state::mergeRetained(const std::vector<retained_item>& fromPeer, bool indefiniteOnly)
 {
     std::vector<published_change> changes;
-    for (const auto& retained : told) {
-        if (lastingOnly && !m_retained.lasting(retained))
+    for (const auto& retained : fromPeer) {
+        if (indefiniteOnly && !m_retained.isIndefinite(retained))
             continue;
-        if (m_retained.join(retained, listed(retained.item.key)))
-            refresh(retained.item.key, changes);
+        if (m_retained.merge(retained, listed(retained.item.key)))
+            updateInForce(retained.item.key, changes);
     }
     return changes;
 }
@@ -123,7 +123,7 @@
 {
     std::vector<published_change> changes;
     for (const auto& key : m_retained.expire())
-        refresh(key, changes);
+        updateInForce(key, changes);
     return changes;
 }
 
@@ -131,27 +131,27 @@
 {
     if (upTo != m_position || empty())
         return;
-    if (!m_provenAt || askedAt > *m_provenAt)
-        m_provenAt = askedAt;
+    if (!m_freshAsOf || askedAt > *m_freshAsOf)
+        m_freshAsOf = askedAt;
 }
 
-std::vector<published_change> published_state::take(const published_delta& delta, removal meaning)
+std::vector<published_change> published_state::apply(const published_delta& delta, removal meaning)
 {
     if (delta.position <= m_position)
         return {};
-    published_snapshot whole;
-    whole.revision = delta.position.revision;
-    whole.epoch = delta.position.epoch;
-    whole.items = delta.items;
+    published_snapshot complete;
+    complete.revision = delta.position.revision;
+    complete.epoch = delta.position.epoch;
+    complete.items = delta.items;
     std::set<std::string> fresh;
     for (const auto& item : delta.items)
         fresh.insert(item.key);
     for (const auto& key : delta.keys) {
-        const auto* held = listed(key);
-        if (held && !fresh.contains(key))
-            whole.items.push_back(*held);
+        const auto* current = listed(key);
+        if (current && !fresh.contains(key))
+            complete.items.push_back(*current);
     }
-    return take(whole, meaning);
+    return apply(complete, meaning);
 }
 
 published_delta published_state::since(store_position position) const
@@ -171,7 +171,7 @@
 
 freshness_rule::freshness_rule(bool strict, milliseconds bound, milliseconds margin)
     : m_strict(strict)
-    , m_longest(std::max(milliseconds(0), bound - margin))
+    , m_maxAge(std::max(milliseconds(0), bound - margin))
 {
 }
 
@@ -179,14 +179,14 @@
 {
     if (!m_strict)
         return true;
-    return provenAt && now - *provenAt < m_longest;
+    return provenAt && now - *provenAt < m_maxAge;
 }
 
 milliseconds freshness_rule::refusedFor(std::optional<instant> provenAt, instant now) const
 {
     if (!provenAt || mayUseKeys(provenAt, now))
         return milliseconds(0);
-    return std::chrono::duration_cast<milliseconds>(now - *provenAt) - m_longest;
+    return std::chrono::duration_cast<milliseconds>(now - *provenAt) - m_maxAge;
 }
 
 } // namespace rampgap
--- a/Source/policy/published_state.h
+++ b/Source/policy/published_state.h
@@ -1,4 +1,4 @@
-// The items that the users' metadata store publishes, with the proof of how fresh they are.
+// The items that the users' metadata store publishes, and up to when this copy is known to be current.
 #pragma once
 
 #include "policy/retained_items.h"
@@ -12,7 +12,7 @@
 struct published_change {
     published_item item;
     bool removed = false;
-    // Not what the store lists, but what was confirmed before it was restored.
+    // The item is not what the store lists, but what was confirmed before the store was restored.
     bool retained = false;
 
     bool operator==(const published_change&) const = default;
@@ -27,7 +27,7 @@
     bool operator==(const published_snapshot&) const = default;
 };
 
-// What one holder has that another lacks: changed items, and the keys of all that exist.
+// Difference to an older copy: the changed items, and the keys of all existing ones.
 struct published_delta {
     std::vector<published_item> items;
     std::vector<std::string> keys;
@@ -36,22 +36,22 @@
     bool operator==(const published_delta&) const = default;
 };
 
-// What one holds, for comparison with what others hold.
+// Summary of a copy, to compare it with the copies of peers.
 struct state_summary {
     store_position position;
-    // Of the retained items; 0 if there are none.
+    // Digest of the retained items; 0 if there are none.
     std::uint32_t retained = 0;
 
     bool operator==(const state_summary&) const = default;
 };
 
-// What a removed entry means.
+// How to interpret the removal of an entry.
 enum class removal { gone,
-    // It may have lapsed in an outage, and its server is there.
+    // It may have lapsed in an outage while its server still runs.
     doubtful };
 
-// Copy of the store's items, and what was confirmed before the store was restored. Its position
-// only rises, and no item goes back to what it was before, whoever they were learned from.
+// Copy of the store's items, and of those that were confirmed before the store was restored. Its
+// position only increases and no item returns to an earlier version, whatever the source is.
 class published_state {
 public:
     // Retains nothing.
@@ -59,59 +59,59 @@
     // `order` must outlive this.
     explicit published_state(const item_order& order);
 
-    // Takes a complete listing; returns what changed. An older one than held changes nothing.
-    std::vector<published_change> take(const published_snapshot&, removal = removal::gone);
-    // Takes the changes from one position on, up to revision `upTo` of the same epoch; returns
-    // those that were new. Changes that do not join what is held change nothing.
-    std::vector<published_change> take(const std::vector<published_change>&, store_position from, store_revision upTo, removal = removal::gone);
-    // Takes what another holder sent; an older state than held changes nothing.
-    std::vector<published_change> take(const published_delta&, removal = removal::gone);
-    // Takes what another holder retains; with `lastingOnly` nothing that stands in for a while.
-    std::vector<published_change> join(const std::vector<retained_item>&, bool lastingOnly);
-    // Time is up for what stands in for a while.
+    // Applies a complete listing; returns what changed. A listing older than this copy changes nothing.
+    std::vector<published_change> apply(const published_snapshot&, removal = removal::gone);
+    // Applies the changes from position `from` up to revision `upTo` of the same epoch; returns
+    // those that were new. Changes that leave a gap to this copy, or are of another epoch, are ignored.
+    std::vector<published_change> apply(const std::vector<published_change>&, store_position from, store_revision upTo, removal = removal::gone);
+    // Applies what a peer sent; a state that is not newer than this copy changes nothing.
+    std::vector<published_change> apply(const published_delta&, removal = removal::gone);
+    // Merges the items that a peer retains; with `indefiniteOnly` none that is retained temporarily.
+    std::vector<published_change> mergeRetained(const std::vector<retained_item>&, bool indefiniteOnly);
+    // Drops the items that are retained temporarily; returns what changed.
     std::vector<published_change> expireRetained();
-    // What a holder of an earlier position lacks of the store's items.
+    // What a copy at an earlier position lacks of the store's items.
     published_delta since(store_position) const;
-    // A reading sent at `askedAt` showed nothing newer than `upTo`. Counts only if that is
-    // what is held, since a proof about other items says nothing about these.
+    // A reading that was requested at `askedAt` showed nothing newer than `upTo`. Counts only if
+    // this copy is at `upTo`: the freshness of other items says nothing about these.
     void noteProof(store_position upTo, instant askedAt);
 
     store_position position() const { return m_position; }
     bool empty() const { return m_position.revision == 0; }
-    // When the newest reading that proved the held items was sent; empty if there was none.
-    std::optional<instant> provenAt() const { return m_provenAt; }
-    // What is in force.
+    // When the newest reading that confirmed this copy was requested; empty if there was none.
+    std::optional<instant> provenAt() const { return m_freshAsOf; }
+    // The items in force.
     const items_by_key& items() const { return m_items; }
     const retained_items& retained() const { return m_retained; }
 
 private:
     const published_item* listed(const std::string& key) const;
-    void refresh(const std::string& key, std::vector<published_change>&);
+    void updateInForce(const std::string& key, std::vector<published_change>&);
 
-    // As the store shows them, and what is in force.
+    // Items as the store lists them, and items in force.
     items_by_key m_listed;
     items_by_key m_items;
-    // Keys under which what is in force is retained, not what the store shows.
+    // Keys whose item in force is a retained one, not the listed one.
     std::set<std::string> m_retainedKeys;
     retained_items m_retained;
     store_position m_position;
-    std::optional<instant> m_provenAt;
+    std::optional<instant> m_freshAsOf;
 };
 
-// How long what was read may be acted on where a withdrawal must hold by a bound.
+// How long a copy may be used to admit keys where the revocation of a key must take effect within a bound.
 class freshness_rule {
 public:
-    // `bound`: within it a withdrawal is in force; `margin` covers what a reading can miss.
+    // `bound`: time within which a revocation takes effect; `margin` covers what a reading can miss.
     freshness_rule(bool strict, milliseconds bound, milliseconds margin);
 
     // True if a request with a key may be admitted now.
     bool mayUseKeys(std::optional<instant> provenAt, instant now) const;
-    // How long none could be admitted; 0 while they may.
+    // How long no request with a key could be admitted; 0 while they can.
     milliseconds refusedFor(std::optional<instant> provenAt, instant now) const;
 
 private:
     bool m_strict;
-    milliseconds m_longest;
+    milliseconds m_maxAge;
 };
 
 } // namespace rampgap
--- a/Source/policy/reader_choice.h
+++ b/Source/policy/reader_choice.h
@@ -8,7 +8,7 @@
 namespace rampgap {
 
 inline constexpr std::size_t readersPerZone = 2;
-// Those who stand by, the readers included: they look after the ones before them.
+// Number of readers and standby readers; each of them monitors those before it in the order.
 inline constexpr std::size_t readersAndStandbys = 6;
 
 // The entry VMs of the zone in the order in which they become readers; all processes that
@@ -18,7 +18,7 @@
 // True if `self` is among the first readers, leaving out those that `self` cannot reach.
 bool isChosenReader(const std::string& self, const std::vector<std::string>& order, const std::set<std::string>& unreachable);
 
-// The processes that `self` looks after: all before it, if it stands by.
+// The processes that `self` monitors: all before it in the order, if it is one of them.
 std::vector<std::string> lookedAfterBy(const std::string& self, const std::vector<std::string>& order);
 
 } // namespace rampgap
--- a/Source/policy/retained_items.cpp
+++ b/Source/policy/retained_items.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    // A store comes back some seconds older. In a fleet of 2,000 servers 270 are replaced in a
-    // day, and a whole zone of 700 may go at once; each takes some 400 bytes.
-    constexpr std::size_t removalsRemembered = 1'024;
+    // A restored store lacks the last few seconds. In a fleet of 2,000 servers 270 are replaced per
+    // day, and a whole zone of 700 may go at once; each removal takes about 400 bytes.
+    constexpr std::size_t maxRemovals = 1'024;
 
     const published_item* find(const items_by_key& items, const std::string& key)
     {
@@ -18,12 +18,12 @@
 
 } // namespace
 
-void retained_items::noteRemoved(const published_item& item)
+void retained_items::recordRemoval(const published_item& item)
 {
     if (m_order.holdsUnlisted(item))
         return;
     m_removed.push_back(item);
-    if (m_removed.size() > removalsRemembered)
+    if (m_removed.size() > maxRemovals)
         m_removed.pop_front();
 }
 
@@ -35,15 +35,15 @@
     return rank;
 }
 
-bool retained_items::lasting(const retained_item& retained) const
+bool retained_items::isIndefinite(const retained_item& retained) const
 {
     const auto rank = rankOf(retained);
     return m_order.holdsUnlisted(retained.item) || (rank && rank->stage == item_stage::leaving);
 }
 
-// A server that was removed and has listed itself again has another creation: only the very
-// entry that was removed is kept out.
-bool retained_items::holds(const retained_item& retained, const published_item* listed) const
+// A server that was removed and has registered again has another creation revision: only the very
+// entry that was removed is suppressed.
+bool retained_items::prevails(const retained_item& retained, const published_item* listed) const
 {
     if (!listed)
         return !retained.removed && m_order.holdsUnlisted(retained.item);
@@ -52,34 +52,34 @@
     return rankOf(retained) > m_order.rank(*listed);
 }
 
-void retained_items::keep(const items_by_key& inForce, const items_by_key& listed)
+void retained_items::retain(const items_by_key& inForce, const items_by_key& listed)
 {
-    std::erase_if(m_items, [&](const auto& kept) { return !holds(kept.second, find(listed, kept.first)); });
+    std::erase_if(m_items, [&](const auto& kept) { return !prevails(kept.second, find(listed, kept.first)); });
     for (const auto& [key, item] : inForce) {
-        const auto* shown = find(listed, key);
-        // Nearly all: what says the same has the same rank, and need not be read for it.
-        if (shown && shown->value == item.value)
+        const auto* listedItem = find(listed, key);
+        // True for nearly all items: equal values have equal ranks and need not be parsed.
+        if (listedItem && listedItem->value == item.value)
             continue;
         const retained_item confirmed { item, false };
-        if (holds(confirmed, shown))
+        if (prevails(confirmed, listedItem))
             m_items[key] = confirmed;
     }
     for (const auto& item : m_removed) {
         const retained_item removed { item, true };
-        if (!inForce.contains(item.key) && holds(removed, find(listed, item.key)))
+        if (!inForce.contains(item.key) && prevails(removed, find(listed, item.key)))
             m_items[item.key] = removed;
     }
     updateDigest();
 }
 
-bool retained_items::join(const retained_item& told, const published_item* listed)
+bool retained_items::merge(const retained_item& fromPeer, const published_item* listed)
 {
-    if (!holds(told, listed))
+    if (!prevails(fromPeer, listed))
         return false;
-    const auto held = m_items.find(told.item.key);
-    if (held != m_items.end() && rankOf(held->second) >= rankOf(told))
+    const auto current = m_items.find(fromPeer.item.key);
+    if (current != m_items.end() && rankOf(current->second) >= rankOf(fromPeer))
         return false;
-    m_items[told.item.key] = told;
+    m_items[fromPeer.item.key] = fromPeer;
     updateDigest();
     return true;
 }
@@ -89,7 +89,7 @@
     const auto kept = m_items.find(key);
     if (kept == m_items.end())
         return listed;
-    if (holds(kept->second, listed))
+    if (prevails(kept->second, listed))
         return kept->second.removed ? nullptr : &kept->second.item;
     m_items.erase(kept);
     updateDigest();
@@ -100,7 +100,7 @@
 {
     std::vector<std::string> keys;
     for (const auto& [key, kept] : m_items) {
-        if (!lasting(kept))
+        if (!isIndefinite(kept))
             keys.push_back(key);
     }
     for (const auto& key : keys)
@@ -114,7 +114,7 @@
     std::string text;
     for (const auto& [key, kept] : m_items) {
         const auto rank = rankOf(kept).value_or(item_rank {});
-        text += key + " " + std::to_string(rank.life) + " " + std::to_string(static_cast<int>(rank.stage)) + "\n";
+        text += key + " " + std::to_string(rank.generation) + " " + std::to_string(static_cast<int>(rank.stage)) + "\n";
     }
     m_digest = text.empty() ? 0 : static_cast<std::uint32_t>(XXH64(text.data(), text.size(), 0)) | 1U;
 }
--- a/Source/policy/retained_items.h
+++ b/Source/policy/retained_items.h
@@ -1,4 +1,4 @@
-// What was confirmed and a restored store has forgotten.
+// Items that were confirmed but that a restored store has lost.
 #pragma once
 
 #include "policy/item_order.h"
@@ -10,14 +10,14 @@
 
 struct retained_item {
     published_item item;
-    // The entry had been removed: what is listed under its key is that removed one.
+    // The entry was removed before the restoration: the entry listed under its key is the removed one.
     bool removed = false;
 
     bool operator==(const retained_item&) const = default;
 };
 
-// Kept from before a restoration and learned from peers. Each item stands in the place of what
-// the store lists until the store shows as much again, or something newer.
+// Items kept from before a restoration or learned from peers. Each replaces what the store lists
+// until the store lists the same version again, or a newer one.
 class retained_items {
 public:
     // `order` must outlive this.
@@ -26,29 +26,29 @@
     {
     }
 
-    // The store may forget that it removed an entry. The latest removals are remembered.
-    void noteRemoved(const published_item&);
-    // The store was restored: `inForce` held before, it now shows `listed`.
-    void keep(const items_by_key& inForce, const items_by_key& listed);
-    // Takes what a peer retains. True if it is news, given what is listed under its key; null
-    // if nothing is.
-    bool join(const retained_item&, const published_item* listed);
-    // What is in force under a key; null if nothing is. An item in whose place the store now
-    // shows as much is forgotten.
+    // Remembers a removal, since a restored store may list the entry again. Only the latest ones are kept.
+    void recordRemoval(const published_item&);
+    // The store was restored: `inForce` was in force before, it now lists `listed`.
+    void retain(const items_by_key& inForce, const items_by_key& listed);
+    // Merges an item that a peer retains. True if this changes what is retained here. `listed` is
+    // the store's item under the same key, null if there is none.
+    bool merge(const retained_item&, const published_item* listed);
+    // The item in force under a key; null if there is none. Forgets the retained item once the store
+    // lists the same version or a newer one.
     const published_item* inForce(const std::string& key, const published_item* listed);
-    // Forgets what only stands in for servers that would say more of themselves, or would have
-    // lapsed, by now; returns the keys.
+    // Forgets the items that are retained temporarily: by now their servers have been listed again
+    // or their entries would have lapsed. Returns the keys.
     std::vector<std::string> expire();
-    // True if an item holds until the store shows as much, however long that takes.
-    bool lasting(const retained_item&) const;
+    // True if an item is retained until the store lists the same version, however long that takes.
+    bool isIndefinite(const retained_item&) const;
 
     const std::map<std::string, retained_item>& all() const { return m_items; }
-    // The same for items that are equally far; 0 for none.
+    // Equal for items of equal ranks; 0 if there are none.
     std::uint32_t digest() const { return m_digest; }
 
 private:
     std::optional<item_rank> rankOf(const retained_item&) const;
-    bool holds(const retained_item&, const published_item* listed) const;
+    bool prevails(const retained_item&, const published_item* listed) const;
     void updateDigest();
 
     const item_order& m_order;
--- a/Source/policy/snapshot_choice.cpp
+++ b/Source/policy/snapshot_choice.cpp
@@ -6,51 +6,51 @@
 
 namespace {
 
-    // A change reaches a reader of each zone within some 10 ms, and has 2 s to be in force.
-    constexpr milliseconds ownZoneFirst { 400 };
-    // A fetch that failed is tried again; one that brought nothing, seldom.
-    constexpr milliseconds retainedAgainAfter { 500 };
+    // A change reaches a reader of each zone within about 10 ms, and must be in force within 2 s.
+    constexpr milliseconds ownZoneWait { 400 };
+    // A failed fetch of retained items is repeated after this time. One that brought nothing new must not be repeated often.
+    constexpr milliseconds retainedFetchInterval { 500 };
 
 } // namespace
 
-std::optional<std::string> snapshot_choice::noteTold(const std::string& host, bool sameZone, const state_summary& told, const state_summary& held, instant now)
+std::optional<std::string> snapshot_choice::recordPeerSummary(const std::string& host, bool sameZone, const state_summary& peer, const state_summary& own, instant now)
 {
-    if (retainsOther(told, held, now))
+    if (shouldFetchRetained(peer, own, now))
         return host;
-    if (told.position <= held.position)
+    if (peer.position <= own.position)
         return std::nullopt;
-    if (!m_missingSince || m_newest <= held.position)
+    if (!m_missingSince || m_newest <= own.position)
         m_missingSince = now;
-    m_newest = std::max(m_newest, told.position);
+    m_newest = std::max(m_newest, peer.position);
     m_host = host;
-    // Who holds nothing yet cannot serve, and takes what it can get.
-    if (sameZone || held.position == store_position {} || waitedEnough(now))
+    // A process that holds nothing yet cannot serve requests, so it fetches from any peer.
+    if (sameZone || own.position == store_position {} || ownZoneWaitOver(now))
         return host;
     return std::nullopt;
 }
 
-std::optional<std::string> snapshot_choice::due(store_position held, instant now) const
+std::optional<std::string> snapshot_choice::overdueFetch(store_position own, instant now) const
 {
-    if (m_newest <= held || !waitedEnough(now))
+    if (m_newest <= own || !ownZoneWaitOver(now))
         return std::nullopt;
     return m_host;
 }
 
-bool snapshot_choice::retainsOther(const state_summary& told, const state_summary& held, instant now)
+bool snapshot_choice::shouldFetchRetained(const state_summary& peer, const state_summary& own, instant now)
 {
-    if (told.position != held.position || told.retained == 0 || told.retained == held.retained)
+    if (peer.position != own.position || peer.retained == 0 || peer.retained == own.retained)
         return false;
-    if (told == m_toldOther && held == m_heldThen && now - m_askedForOther < retainedAgainAfter)
+    if (peer == m_peerSummary && own == m_ownSummary && now - m_retainedRequestedAt < retainedFetchInterval)
         return false;
-    m_toldOther = told;
-    m_heldThen = held;
-    m_askedForOther = now;
+    m_peerSummary = peer;
+    m_ownSummary = own;
+    m_retainedRequestedAt = now;
     return true;
 }
 
-bool snapshot_choice::waitedEnough(instant now) const
+bool snapshot_choice::ownZoneWaitOver(instant now) const
 {
-    return m_missingSince && now - *m_missingSince >= ownZoneFirst;
+    return m_missingSince && now - *m_missingSince >= ownZoneWait;
 }
 
 } // namespace rampgap
--- a/Source/policy/snapshot_choice.h
+++ b/Source/policy/snapshot_choice.h
@@ -1,4 +1,4 @@
-// From whom to fetch the fleet's state when others hold a newer state.
+// Chooses the peer to fetch the fleet's state from when others have a newer one.
 #pragma once
 
 #include "policy/published_state.h"
@@ -9,31 +9,31 @@
 
 namespace rampgap {
 
-// Load pattern: many changes of a large configuration within a second, at a hundred
-// processes. Bytes between zones are dear and links narrow, so a process first waits for a
-// peer of its own zone to hold the change.
-// What a peer retains of before the store was restored is fetched from anyone at once: it is
-// little, and until it is here a withdrawn key may be let in.
+// Load pattern: many changes of a large configuration within a second, at a hundred processes.
+// Traffic between zones is expensive and links are narrow, so a process first waits until a peer
+// of its own zone has the change.
+// Items that a peer retains from before a restoration of the store are fetched from any peer at
+// once: they are small, and without them a revoked key may be admitted.
 class snapshot_choice {
 public:
-    // A peer told what it holds. The host to fetch from now, if any.
-    std::optional<std::string> noteTold(const std::string& host, bool sameZone, const state_summary& told, const state_summary& held, instant now);
-    // The host to fetch from where nobody of the own zone had the change in time.
-    std::optional<std::string> due(store_position held, instant now) const;
+    // A peer sent a summary of its copy. Returns the host to fetch from now, if any.
+    std::optional<std::string> recordPeerSummary(const std::string& host, bool sameZone, const state_summary& peer, const state_summary& own, instant now);
+    // The host to fetch from if no peer of the own zone had the change in time.
+    std::optional<std::string> overdueFetch(store_position own, instant now) const;
 
 private:
-    bool waitedEnough(instant now) const;
-    // True if a peer retains what is unknown here, and was not just asked for it.
-    bool retainsOther(const state_summary& told, const state_summary& held, instant now);
+    bool ownZoneWaitOver(instant now) const;
+    // True if a peer retains items unknown here that were not just requested.
+    bool shouldFetchRetained(const state_summary& peer, const state_summary& own, instant now);
 
-    // The newest position that was told, since when one is missing here, and who told it.
+    // The newest position that a peer reported, since when this process lacks one, and that peer.
     store_position m_newest;
     std::optional<instant> m_missingSince;
     std::string m_host;
-    // The last two summaries that differed in what is retained, and when it was asked for.
-    state_summary m_toldOther;
-    state_summary m_heldThen;
-    instant m_askedForOther {};
+    // The last two summaries that differed in the retained items, and when these were requested.
+    state_summary m_peerSummary;
+    state_summary m_ownSummary;
+    instant m_retainedRequestedAt {};
 };
 
 } // namespace rampgap
--- a/Source/policy/store_position.h
+++ b/Source/policy/store_position.h
@@ -1,4 +1,4 @@
-// Where a reading stands in the history of the store that it is of.
+// Position of a reading in the history of the store.
 #pragma once
 
 #include <compare>
@@ -7,12 +7,12 @@
 namespace rampgap {
 
 using store_revision = std::uint64_t;
-// Rises by one each time the store comes back from a copy that lacks what it had acknowledged
-// since; 0 where the store does not tell.
+// Increases by one each time the store is restored from a copy that lacks acknowledged writes; 0 if
+// the store does not report it.
 using store_epoch = std::uint64_t;
 
-// Ordered by epoch first: a restored store gives out its revisions again, and of two readings
-// the one of the later epoch is the newer, whatever their revisions are.
+// Ordered by epoch first: a restored store reuses revision numbers, so of two readings the one of
+// the later epoch is newer, whatever their revisions are.
 struct store_position {
     store_epoch epoch = 0;
     store_revision revision = 0;
--- a/Source/policy/store_reading.cpp
+++ b/Source/policy/store_reading.cpp
@@ -37,9 +37,9 @@
     return process.sinceStart >= settings.joinPatience + milliseconds(spread);
 }
 
-bool shouldRead(const peer_table& peers, std::optional<milliseconds> proofAge, const reading_settings& settings)
+bool shouldRead(const peer_table& peers, std::optional<milliseconds> freshnessAge, const reading_settings& settings)
 {
-    return !proofAge || *proofAge > settings.oldestProof || isReader(peers, settings);
+    return !freshnessAge || *freshnessAge > settings.oldestProof || isReader(peers, settings);
 }
 
 } // namespace rampgap
--- a/Source/policy/store_reading.h
+++ b/Source/policy/store_reading.h
@@ -1,4 +1,4 @@
-// Which entry VMs read the users' store; the others live on their readings.
+// Which entry VMs read the users' store; the others get its content from these.
 #pragma once
 
 #include "policy/peer_table.h"
@@ -8,15 +8,15 @@
 namespace rampgap {
 
 struct reading_settings {
-    // Entry VMs of a zone that read.
+    // Number of entry VMs of a zone that read.
     std::size_t readersPerZone = 1;
-    // Whoever has no newer proof than this reads by itself, whoever was chosen.
-    // A reader's own proof is up to two waits of its watch old (1.6 s).
+    // A process whose copy was last confirmed longer ago than this reads by itself, chosen or not.
+    // A reader's own confirmation may be two waits of its watch old (1.6 s).
     milliseconds oldestProof { 1'900 };
-    // A process that has just started leaves the reading to the seeds for so long at the least,
-    // and the longer the higher its draw: the first of those whose seeds are all gone serves
-    // the others. A seed reads as soon as it knows that its peers hold nothing, or after as long:
-    // a restored store may have forgotten what they know.
+    // A process that has just started leaves the reading to the seeds for `joinDelay` plus a random
+    // part of `joinJitter`; if all seeds are gone, the first one that reads serves the others. A seed
+    // reads as soon as it knows that its peers hold nothing, at the latest after `joinDelay`: it asks
+    // them first because a restored store may have lost what they know.
     milliseconds joinPatience { 400 };
     milliseconds joinSpread { 800 };
 
@@ -25,7 +25,7 @@
 
 // A process that holds nothing yet.
 struct joining_process {
-    // Others ask it at their start.
+    // Other processes contact it when they start.
     bool isSeed = false;
     milliseconds sinceStart { 0 };
     // Random, from 0 to 1.
@@ -34,17 +34,17 @@
     bool peersEmpty = false;
 };
 
-// True if a process that has just started is to read the store now. Load pattern: all of 149
-// entry VMs start at one moment; each reading everything took 6 to 8 priced calls.
+// True if a process that has just started should read the store now. Load pattern: all of 149 entry
+// VMs start at the same moment; to read everything takes each of them 6 to 8 billed calls.
 bool shouldReadToJoin(const joining_process&, const reading_settings&);
 
-// The processes that read, by what this one knows: those of its own zone first.
+// The processes that read, as far as this one knows: those of its own zone first.
 std::vector<std::string> chosenReaders(const peer_table&, const reading_settings&);
 
 // True if this process is one of them.
 bool isReader(const peer_table&, const reading_settings&);
 
-// True if this process is to read the store now.
-bool shouldRead(const peer_table&, std::optional<milliseconds> proofAge, const reading_settings&);
+// True if this process should read the store now.
+bool shouldRead(const peer_table&, std::optional<milliseconds> freshnessAge, const reading_settings&);
 
 } // namespace rampgap
--- a/Tests/platform/peers/test.cpp
+++ b/Tests/platform/peers/test.cpp
@@ -1,4 +1,4 @@
-// Membership by gossip, and who reads the store.
+// Membership by gossip, and the choice of the processes that read the store.
 #include "policy/peer_table.h"
 #include "policy/store_reading.h"
 
@@ -20,31 +20,31 @@
 
 } // namespace
 
-TEST_CASE("a process that is silent is dropped, one that others heard of is kept")
+TEST_CASE("a silent process is dropped, one that others report is kept")
 {
     peer_table table(entry("10.0.0.1", "a"), { "10.0.0.2" }, silence);
     CHECK(table.seedsToAsk() == std::vector<std::string> { "10.0.0.2" });
     table.noteHeard(entry("10.0.0.2", "a"), zero);
     table.noteHeard(entry("10.0.0.3", "b"), zero);
     CHECK(table.seedsToAsk().empty());
-    table.noteTold(entry("10.0.0.3", "b"), milliseconds(100), zero + milliseconds(4'000));
+    table.mergeReport(entry("10.0.0.3", "b"), milliseconds(100), zero + milliseconds(4'000));
     const auto dropped = table.dropSilent(zero + silence);
     CHECK(dropped == std::vector<std::string> { "10.0.0.2" });
     CHECK(table.count(peer_role::entry) == 1);
     CHECK(table.mostEntries() == 3);
 }
 
-TEST_CASE("news of an earlier life of a process changes nothing")
+TEST_CASE("messages of an earlier incarnation of a process change nothing")
 {
     peer_table table(entry("10.0.0.1", "a"), {}, silence);
     CHECK(table.noteHeard(entry("10.0.0.2", "a", 7), zero));
     CHECK_FALSE(table.noteHeard(entry("10.0.0.2", "a", 6), zero + milliseconds(10)));
     CHECK(table.noteHeard(entry("10.0.0.2", "a", 8), zero + milliseconds(20)));
-    table.noteTold(entry("10.0.0.1", "a", 99), milliseconds(0), zero);
+    table.mergeReport(entry("10.0.0.1", "a", 99), milliseconds(0), zero);
     CHECK(table.count(peer_role::entry) == 1);
 }
 
-TEST_CASE("all processes of a zone agree on its reader, and whoever has no proof reads too")
+TEST_CASE("all processes of a zone agree on its reader, and one without a fresh copy reads too")
 {
     const std::vector<peer_info> all { entry("10.0.0.1", "a"), entry("10.0.0.2", "a"), entry("10.0.0.3", "a"), entry("10.0.1.1", "b") };
     int readers = 0;
@@ -72,12 +72,12 @@
     };
     CHECK(readersAt(milliseconds(0)) == 3);
     CHECK(readersAt(settings.joinPatience - milliseconds(1)) == 3);
-    // The first ones serve the others from here on.
+    // From here on the first readers serve the others.
     CHECK(readersAt(settings.joinPatience + milliseconds(30)) < 10);
     CHECK(readersAt(settings.joinPatience + settings.joinSpread) == 149);
 }
 
-TEST_CASE("a seed that is started beside peers that hold something asks them, not a store that may have forgotten it")
+TEST_CASE("a seed whose peers hold something asks them first, since a restored store may have lost it")
 {
     const reading_settings settings;
     const bool peersEmpty = false;
@@ -86,9 +86,9 @@
     CHECK(shouldReadToJoin({ true, settings.joinPatience, 0.0, peersEmpty }, settings));
 }
 
-TEST_CASE("a fleet of 149 that gossips with 12 at a time loses nobody in a minute")
+TEST_CASE("a fleet of 149 processes that gossip with 12 at a time wrongly drops none in a minute")
 {
-    // Each process tells 12 others of itself each 250 ms, and of 24 others each second.
+    // Every 250 ms each process sends its state to 12 others, every second also that of 24 others.
     std::mt19937_64 random(4);
     std::vector<peer_table> fleet;
     for (int i = 0; i < 149; ++i)
@@ -106,20 +106,20 @@
         for (auto& table : fleet) {
             lost += static_cast<int>(table.dropSilent(now).size());
             const auto known = table.sample(peer_role::entry, 24, random);
-            for (const auto& told : table.sampleNear(peer_role::entry, gossipFanout, random)) {
-                auto& receiver = fleet[indexOf[told.host]];
+            for (const auto& target : table.sampleNear(peer_role::entry, gossipFanout, random)) {
+                auto& receiver = fleet[indexOf[target.host]];
                 receiver.noteHeard(table.self(), now);
                 if (round % 4 != 0)
                     continue;
                 for (const auto& other : known)
-                    receiver.noteTold(other, table.age(other.host, now), now);
+                    receiver.mergeReport(other, table.age(other.host, now), now);
             }
         }
     }
     CHECK(lost == 0);
 }
 
-TEST_CASE("gossip keeps to the own zone where that has enough")
+TEST_CASE("gossip prefers the own zone if that has enough processes")
 {
     std::mt19937_64 random(4);
     peer_table table(entry("10.0.0.1", "a"), {}, silence);
--- a/Tests/platform/published-state/test.cpp
+++ b/Tests/platform/published-state/test.cpp
@@ -1,4 +1,4 @@
-// Copies of the store: revisions only rise, proofs say something about what is held.
+// Copies of the store: the position only increases, and freshness counts only for the items that a copy holds.
 #include "policy/published_state.h"
 
 #include <doctest/doctest.h>
@@ -20,27 +20,27 @@
 TEST_CASE("an older listing changes nothing")
 {
     published_state state;
-    state.take(published_snapshot { { item("a", "2", 7) }, 9 });
-    CHECK(state.take(published_snapshot { { item("a", "1", 3) }, 4 }).empty());
+    state.apply(published_snapshot { { item("a", "2", 7) }, 9 });
+    CHECK(state.apply(published_snapshot { { item("a", "1", 3) }, 4 }).empty());
     CHECK(state.items().at("a").value == "2");
     CHECK(state.position() == store_position { 0, 9 });
 }
 
-TEST_CASE("a change that a page of the listing already showed is not taken twice")
+TEST_CASE("a change that a page of the listing already showed is not applied twice")
 {
     published_state state;
-    // Pages are no snapshot: the first said revision 5, a later page showed a change of 6.
-    state.take(published_snapshot { { item("a", "1", 3), item("b", "new", 6) }, 5 });
+    // The pages of a listing are no snapshot: the first gave revision 5, a later page showed a change of revision 6.
+    state.apply(published_snapshot { { item("a", "1", 3), item("b", "new", 6) }, 5 });
     const std::vector<published_change> changes { { item("b", "new", 6), false }, { item("a", "2", 7), false } };
-    const auto fresh = state.take(changes, { 0, 5 }, 7);
+    const auto fresh = state.apply(changes, { 0, 5 }, 7);
     REQUIRE(fresh.size() == 1);
     CHECK(fresh.front().item.key == "a");
 }
 
-TEST_CASE("a proof about older items proves nothing about the held ones")
+TEST_CASE("freshness of an older position does not count for the items held")
 {
     published_state state;
-    state.take(published_snapshot { { item("a", "1", 3) }, 5 });
+    state.apply(published_snapshot { { item("a", "1", 3) }, 5 });
     state.noteProof({ 0, 4 }, zero + milliseconds(100));
     CHECK_FALSE(state.provenAt());
     state.noteProof({ 0, 5 }, zero + milliseconds(90));
@@ -49,50 +49,50 @@
     CHECK(state.provenAt() == zero + milliseconds(90));
 }
 
-// A restored store gives out its revisions again: VMs that had followed it by themselves and VMs that knew it by a peer held
-// other items under the same number ("version=67 revision=46" beside "version=57 revision=46"), and proofs went round for both.
-TEST_CASE("a listing of a restored store replaces one with a higher revision, and not the other way round")
+// A restored store reuses revision numbers: VMs that had read it themselves and VMs that had its state from a peer held
+// different items under the same revision ("version=67 revision=46" and "version=57 revision=46"), each confirmed as fresh.
+TEST_CASE("a listing of a restored store replaces one with a higher revision of an earlier epoch, not the reverse")
 {
     published_state state;
-    state.take(published_snapshot { { item("a", "lost", 46) }, 46, 1 });
-    CHECK(state.take(published_snapshot { { item("a", "written again", 40) }, 40, 2 }).size() == 1);
+    state.apply(published_snapshot { { item("a", "lost", 46) }, 46, 1 });
+    CHECK(state.apply(published_snapshot { { item("a", "written again", 40) }, 40, 2 }).size() == 1);
     CHECK(state.position() == store_position { 2, 40 });
-    CHECK(state.take(published_snapshot { { item("a", "lost", 46) }, 46, 1 }).empty());
+    CHECK(state.apply(published_snapshot { { item("a", "lost", 46) }, 46, 1 }).empty());
     CHECK(state.items().at("a").value == "written again");
 }
 
-TEST_CASE("changes that do not join what is held change nothing")
+TEST_CASE("changes that leave a gap to the copy, or are of another epoch, are ignored")
 {
     published_state state;
-    state.take(published_snapshot { { item("a", "1", 40) }, 40, 2 });
+    state.apply(published_snapshot { { item("a", "1", 40) }, 40, 2 });
     const std::vector<published_change> changes { { item("a", "2", 47), false } };
-    CHECK(state.take(changes, { 1, 46 }, 47).empty());
-    CHECK(state.take(changes, { 2, 46 }, 47).empty());
+    CHECK(state.apply(changes, { 1, 46 }, 47).empty());
+    CHECK(state.apply(changes, { 2, 46 }, 47).empty());
     CHECK(state.position() == store_position { 2, 40 });
-    CHECK(state.take(changes, { 2, 40 }, 47).size() == 1);
+    CHECK(state.apply(changes, { 2, 40 }, 47).size() == 1);
 }
 
-TEST_CASE("a proof for the same number in another history proves nothing")
+TEST_CASE("freshness of the same revision in another epoch does not count")
 {
     published_state state;
-    state.take(published_snapshot { { item("a", "1", 46) }, 46, 1 });
+    state.apply(published_snapshot { { item("a", "1", 46) }, 46, 1 });
     state.noteProof({ 2, 46 }, zero + milliseconds(100));
     CHECK_FALSE(state.provenAt());
 }
 
-TEST_CASE("whoever holds another history gets all items, also those with a lower revision than it holds")
+TEST_CASE("a copy of another epoch gets all items, also those with a lower revision than its own")
 {
     published_state source;
-    source.take(published_snapshot { { item("a", "1", 3), item("b", "2", 40) }, 40, 2 });
+    source.apply(published_snapshot { { item("a", "1", 3), item("b", "2", 40) }, 40, 2 });
     CHECK(source.since({ 2, 39 }).items.size() == 1);
     CHECK(source.since({ 1, 46 }).items.size() == 2);
     published_state follower;
-    follower.take(published_snapshot { { item("a", "1", 3), item("b", "lost", 41), item("c", "lost", 46) }, 46, 1 });
-    follower.take(source.since(follower.position()));
+    follower.apply(published_snapshot { { item("a", "1", 3), item("b", "lost", 41), item("c", "lost", 46) }, 46, 1 });
+    follower.apply(source.since(follower.position()));
     CHECK(follower.items() == source.items());
 }
 
-TEST_CASE("whoever follows by deltas holds the same items as the source")
+TEST_CASE("a copy updated by deltas holds the same items as its source")
 {
     CHECK(rc::check([] {
         published_state source;
@@ -102,18 +102,18 @@
             const std::string key = "k" + std::to_string(step % 7);
             ++revision;
             const bool removed = step >= 30;
-            source.take({ published_change { item(key, std::to_string(step), revision), removed } }, source.position(), revision);
+            source.apply({ published_change { item(key, std::to_string(step), revision), removed } }, source.position(), revision);
             if (step % 3 != 0)
                 continue;
             const store_position held = follower.position();
-            follower.take(source.since(held));
+            follower.apply(source.since(held));
             RC_ASSERT(follower.items() == source.items());
             RC_ASSERT(follower.position() == source.position());
         }
     }));
 }
 
-TEST_CASE("whoever follows by deltas holds the same items as a source that is restored now and then")
+TEST_CASE("a copy updated by deltas holds the same items as a source whose store is restored at times")
 {
     CHECK(rc::check([] {
         published_state source;
@@ -135,9 +135,9 @@
                     store.items.push_back(item(key, std::to_string(*rc::gen::inRange(0, 1'000)), store.revision));
             }
             if (step % 2 == 0)
-                source.take(store);
+                source.apply(store);
             if (step % 3 == 0) {
-                follower.take(source.since(follower.position()));
+                follower.apply(source.since(follower.position()));
                 RC_ASSERT(follower.items() == source.items());
                 RC_ASSERT(follower.position() == source.position());
             }
@@ -145,7 +145,7 @@
     }));
 }
 
-TEST_CASE("keys are used only while the proof is young, by the clock of the moment")
+TEST_CASE("keys are admitted only while the copy is fresh")
 {
     const freshness_rule rule(true, milliseconds(5'000), milliseconds(1'400));
     CHECK_FALSE(rule.mayUseKeys(std::nullopt, zero));
--- a/Tests/platform/suspended-vm/test.cpp
+++ b/Tests/platform/suspended-vm/test.cpp
@@ -1,7 +1,6 @@
-// A VM was suspended for seconds and went on as if no time had passed: its steady clock, by which
-// the age of the last reading of the store was taken, had stood still. Read 0.5 s before, said the
-// clock, and in truth 6.5 s: a key that had been taken away meanwhile was still let in, and callers'
-// deadlines that had passed were handed on as time left.
+// The steady clock of a VM stands still while the VM is suspended. If ages were taken by it, a copy of
+// the store read 6.5 s ago would look 0.5 s old after a suspension of 6 s: a key revoked meanwhile
+// would be admitted, and deadlines that have passed would be forwarded as time left.
 #include "daemon/process_context.h"
 #include "policy/published_state.h"
 #include "support/suspended_time.h"
@@ -16,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("the time for which the VM was suspended has passed")
+TEST_CASE("the clock includes the time for which the VM was suspended")
 {
     const process_context context { "entry", "a", "entry" };
     const instant before = context.now();
@@ -24,7 +23,7 @@
     CHECK(context.now() - before >= suspension);
 }
 
-TEST_CASE("a key is not let in by a proof from before a suspension")
+TEST_CASE("no key is admitted by a copy that was fresh before a suspension")
 {
     const process_context context { "entry", "a", "entry" };
     const freshness_rule rule(true, milliseconds(5'000), milliseconds(1'400));
