--- a/Source/policy/change_plan.cpp
+++ b/Source/policy/change_plan.cpp
@@ -50,9 +50,9 @@
     const std::uint64_t revision = std::max(highestSeen, inForce.link().revision) + 1;
     plan.m_declared = intent.linkedAs({ revision, inForce.link().revision, base, planDigest(base, intent.canonicalBody()) });
     plan.compare(inForce);
-    plan.weighHomes(inForce);
-    plan.weighPools(inForce);
-    plan.weighGroups(inForce);
+    plan.assessOwners(inForce);
+    plan.assessPools(inForce);
+    plan.assessGroups(inForce);
     return plan;
 }
 
@@ -61,14 +61,14 @@
     const ini_document before = bodyOf(inForce);
     const ini_document after = bodyOf(m_declared);
     for (const auto& section : after.sections()) {
-        const ini_section* old = before.find(section.name);
-        if (!old) {
+        const ini_section* oldSection = before.find(section.name);
+        if (!oldSection) {
             m_changes.push_back({ change_kind::add, section.name, "", "", "" });
             continue;
         }
         for (const auto& entry : section.entries) {
-            const ini_entry* known = old->find(entry.key);
-            const std::string value = known ? known->value : "";
+            const ini_entry* oldEntry = oldSection->find(entry.key);
+            const std::string value = oldEntry ? oldEntry->value : "";
             if (value != entry.value)
                 m_changes.push_back({ change_kind::modify, section.name, entry.key, value, entry.value });
         }
@@ -79,7 +79,7 @@
     }
 }
 
-void change_plan::weighHomes(const declaration& inForce)
+void change_plan::assessOwners(const declaration& inForce)
 {
     for (const auto& service : m_declared.services()) {
         const auto before = inForce.homesOf(service.name);
@@ -91,21 +91,21 @@
             const std::string id = std::to_string(i);
             moved += rendezvousPick(id, before) != rendezvousPick(id, after) ? 1 : 0;
         }
-        m_costs.push_back(service.name + ": " + percent(moved, sampledIds) + " of the ids that may run once get another home; they are refused as not run until the handover");
+        m_costs.push_back(service.name + ": " + percent(moved, sampledIds) + " of the ids that may run only once change their owner; they are refused as not run until the handover");
     }
     if (m_declared.rules().idLife > inForce.rules().idLife)
-        m_warnings.emplace_back("a longer id_life_ms: agents that started less than that ago refuse ids until it has passed");
+        m_warnings.emplace_back("a longer id_life_ms: agents that have run for less than that refuse ids until it has passed since their start");
     for (const auto& backend : inForce.backends()) {
         const backend_declaration* after = m_declared.findBackend(backend.name);
         const bool ends = !backend.stopped && (!after || after->stopped);
         if (ends && !backend.draining)
             m_warnings.push_back(backend.name + " is removed or stopped without draining first: its ids are refused for " + std::to_string(m_declared.rules().idLife.count()) + " ms");
         if (after && !backend.draining && after->draining)
-            m_costs.push_back(backend.name + " drains: it takes no new requests and finishes those in flight");
+            m_costs.push_back(backend.name + " drains: it accepts no new requests and finishes those in flight");
     }
 }
 
-void change_plan::weighPools(const declaration& inForce)
+void change_plan::assessPools(const declaration& inForce)
 {
     for (const auto& service : m_declared.services()) {
         const auto after = zonesOf(m_declared, service.name);
@@ -118,14 +118,14 @@
     }
 }
 
-void change_plan::weighGroups(const declaration& inForce)
+void change_plan::assessGroups(const declaration& inForce)
 {
     for (const auto& group : m_declared.groups()) {
         const auto before = std::find_if(inForce.groups().begin(), inForce.groups().end(), [&](const auto& old) { return old.name == group.name; });
         if (before == inForce.groups().end() || *before == group)
             continue;
         if (before->ranks != group.ranks)
-            m_costs.push_back("group " + group.name + ": its ranks change; up to " + std::to_string(group.slotsPerRank) + " experts a layer are loaded on each new rank");
+            m_costs.push_back("group " + group.name + ": its ranks change; on each new rank up to " + std::to_string(group.slotsPerRank) + " experts per layer are loaded");
     }
 }
 
@@ -135,7 +135,7 @@
     const declaration_link& link = m_declared.link();
     out << "Plan for revision " << link.revision << ", based on revision " << link.baseRevision << "\n";
     if (m_changes.empty())
-        out << "  nothing changes\n";
+        out << "  no changes\n";
     for (const auto& change : m_changes) {
         switch (change.kind) {
         case change_kind::add:
--- a/Source/policy/change_plan.h
+++ b/Source/policy/change_plan.h
@@ -1,4 +1,4 @@
-// What an intent would change: the plan that an operator confirms.
+// The plan that an operator confirms: what an intent would change.
 #pragma once
 
 #include "policy/declaration.h"
@@ -25,10 +25,10 @@
 
 class change_plan {
 public:
-    // The exact changes from `inForce` to `intent`, their cost and what may go wrong.
+    // The exact changes from `inForce` to `intent`, their costs and their risks.
     // `highestSeen` is the highest revision number that was ever published.
     static change_plan make(const declaration& inForce, const declaration& intent, std::uint64_t highestSeen);
-    // The first declaration of a fleet, where nothing is in force.
+    // The plan of a fleet's first declaration, when none is in force.
     static change_plan makeFirst(const declaration& intent);
 
     const std::vector<declared_change>& changes() const { return m_changes; }
@@ -42,9 +42,9 @@
 
 private:
     void compare(const declaration& inForce);
-    void weighHomes(const declaration& inForce);
-    void weighPools(const declaration& inForce);
-    void weighGroups(const declaration& inForce);
+    void assessOwners(const declaration& inForce);
+    void assessPools(const declaration& inForce);
+    void assessGroups(const declaration& inForce);
 
     std::vector<declared_change> m_changes;
     std::vector<std::string> m_costs;
--- a/Source/policy/declaration.cpp
+++ b/Source/policy/declaration.cpp
@@ -118,7 +118,7 @@
         return group;
     }
 
-    // Reports names that refer to nothing.
+    // Reports references to names that are not declared.
     class reference_check {
     public:
         reference_check(const ini_document& document, std::vector<input_error>& errors)
@@ -131,8 +131,8 @@
         {
             if (found)
                 return;
-            const ini_section* place = m_document.find(section);
-            const ini_entry* entry = place ? place->find(key) : nullptr;
+            const ini_section* referrer = m_document.find(section);
+            const ini_entry* entry = referrer ? referrer->find(key) : nullptr;
             m_errors.push_back({ m_document.file(), entry ? entry->line : 0, "[" + section + "] " + std::string(key),
                 "no " + std::string(kind) + " named '" + name + "'", "declare it or correct the name" });
         }
@@ -153,7 +153,7 @@
         return parsed.error();
     const ini_document& document = parsed.value();
 
-    declaration made;
+    declaration loaded;
     std::vector<input_error> errors;
     for (const auto& section : document.sections()) {
         section_reader reader(document, section, errors);
@@ -161,46 +161,46 @@
         const std::string kind = section.name.substr(0, space);
         const std::string name = space == std::string::npos ? "" : section.name.substr(space + 1);
         if (kind == "declaration")
-            made.m_link = readLink(reader);
+            loaded.m_link = readLink(reader);
         else if (kind == "rules")
-            made.m_rules = readRules(reader);
+            loaded.m_rules = readRules(reader);
         else if (name.empty())
             errors.push_back({ document.file(), section.line, "[" + section.name + "]", "unknown section or section without a name", "write [workspace NAME], [model NAME], [service NAME], [backend NAME] or [group NAME]" });
         else if (kind == "workspace")
-            made.m_workspaces.push_back(readWorkspace(reader, name));
+            loaded.m_workspaces.push_back(readWorkspace(reader, name));
         else if (kind == "model")
-            made.m_services.push_back({ name, "", reader.flag("not_repeatable", false) });
+            loaded.m_services.push_back({ name, "", reader.flag("not_repeatable", false) });
         else if (kind == "service")
-            made.m_services.push_back(readPlainService(reader, name));
+            loaded.m_services.push_back(readPlainService(reader, name));
         else if (kind == "backend")
-            made.m_backends.push_back(readBackend(reader, name));
+            loaded.m_backends.push_back(readBackend(reader, name));
         else if (kind == "group")
-            made.m_groups.push_back(readGroup(reader, name));
+            loaded.m_groups.push_back(readGroup(reader, name));
         else
             errors.push_back({ document.file(), section.line, "[" + section.name + "]", "unknown kind of section", "use workspace, model, service, backend or group" });
         reader.rejectUnknown();
     }
 
     reference_check check(document, errors);
-    for (const auto& workspace : made.m_workspaces) {
+    for (const auto& workspace : loaded.m_workspaces) {
         for (const auto& name : workspace.uses)
-            check.require(made.findService(name), "workspace " + workspace.name, "uses", name, "model or service");
+            check.require(loaded.findService(name), "workspace " + workspace.name, "uses", name, "model or service");
     }
-    for (const auto& backend : made.m_backends)
-        check.require(made.findService(backend.serves), "backend " + backend.name, "serves", backend.serves, "model or service");
-    for (const auto& group : made.m_groups) {
-        check.require(made.findService(group.model), "group " + group.name, "model", group.model, "model");
+    for (const auto& backend : loaded.m_backends)
+        check.require(loaded.findService(backend.serves), "backend " + backend.name, "serves", backend.serves, "model or service");
+    for (const auto& group : loaded.m_groups) {
+        check.require(loaded.findService(group.model), "group " + group.name, "model", group.model, "model");
         for (const auto& rank : group.ranks)
-            check.require(made.findBackend(rank), "group " + group.name, "ranks", rank, "backend");
+            check.require(loaded.findBackend(rank), "group " + group.name, "ranks", rank, "backend");
     }
     if (!errors.empty())
         return errors;
 
-    sortByName(made.m_workspaces);
-    sortByName(made.m_services);
-    sortByName(made.m_backends);
-    sortByName(made.m_groups);
-    return made;
+    sortByName(loaded.m_workspaces);
+    sortByName(loaded.m_services);
+    sortByName(loaded.m_backends);
+    sortByName(loaded.m_groups);
+    return loaded;
 }
 
 const backend_declaration* declaration::findBackend(std::string_view name) const
--- a/Source/policy/declaration.h
+++ b/Source/policy/declaration.h
@@ -14,7 +14,7 @@
 // The largest declaration that the configuration service can hold, in bytes.
 inline constexpr std::size_t maxDeclarationBytes = 1'000'000;
 
-// Where a declaration stands in the chain of revisions.
+// Position of a declaration in the chain of revisions.
 struct declaration_link {
     std::uint64_t revision = 0;
     std::uint64_t baseRevision = 0;
@@ -24,7 +24,7 @@
     bool operator==(const declaration_link&) const = default;
 };
 
-// Rules that bind all services.
+// Rules that apply to all services.
 struct rule_set {
     milliseconds idLife { 600'000 };
     milliseconds defaultTimeout { 30'000 };
@@ -54,7 +54,7 @@
     bool operator==(const service_declaration&) const = default;
 };
 
-// One backend server. `stopped` is the operator's word that it runs no more.
+// One backend server. `stopped` is the operator's assurance that it no longer runs.
 struct backend_declaration {
     std::string name;
     std::string zone;
@@ -102,7 +102,7 @@
 
     // Names of the backends that serve `service` and are not stopped.
     std::vector<std::string> poolOf(std::string_view service) const;
-    // The names that rendezvous hashing of request ids runs over.
+    // Names of the agents among which rendezvous hashing picks the owner of a request id.
     std::vector<std::string> homesOf(std::string_view service) const;
 
     // The text without the [declaration] section, in canonical order and spacing.
@@ -113,7 +113,7 @@
 
     // The same declaration with one backend draining; empty if there is none of the name.
     std::optional<declaration> withDraining(std::string_view backend) const;
-    // The same body at another place in the chain.
+    // The same body at another position in the chain.
     declaration linkedAs(declaration_link) const;
 
     bool operator==(const declaration&) const = default;
--- a/Source/policy/fleet_configuration.cpp
+++ b/Source/policy/fleet_configuration.cpp
@@ -22,31 +22,31 @@
 
 result<std::shared_ptr<const fleet_configuration>> fleet_configuration::make(fleet_contents contents)
 {
-    std::shared_ptr<fleet_configuration> made(new fleet_configuration(std::move(contents)));
-    const auto& held = made->m_contents;
-    for (std::size_t i = 0; i < held.services.size(); ++i)
-        made->m_services.emplace(held.services[i].name, i);
-    for (std::size_t i = 0; i < held.routes.size(); ++i) {
-        const auto& route = held.routes[i];
-        if (!made->m_routes.emplace(routeKey(route.host, route.pathPrefix), i).second)
+    std::shared_ptr<fleet_configuration> configuration(new fleet_configuration(std::move(contents)));
+    const auto& own = configuration->m_contents;
+    for (std::size_t i = 0; i < own.services.size(); ++i)
+        configuration->m_services.emplace(own.services[i].name, i);
+    for (std::size_t i = 0; i < own.routes.size(); ++i) {
+        const auto& route = own.routes[i];
+        if (!configuration->m_routes.emplace(routeKey(route.host, route.pathPrefix), i).second)
             return notRun(failure_reason::invalid_request, "route '" + route.name + "' has the host and prefix of another route; remove one");
         if (route.services.empty())
             return notRun(failure_reason::invalid_request, "route '" + route.name + "' names no service; name one");
         for (const auto& target : route.services) {
-            if (!made->m_services.contains(target.service))
+            if (!configuration->m_services.contains(target.service))
                 return notRun(failure_reason::invalid_request, "route '" + route.name + "' names the unknown service '" + target.service + "'; declare it");
         }
     }
-    for (std::size_t i = 0; i < held.workspaces.size(); ++i) {
-        for (const auto& key : held.workspaces[i].keys)
-            made->m_keys.emplace(key, i);
+    for (std::size_t i = 0; i < own.workspaces.size(); ++i) {
+        for (const auto& key : own.workspaces[i].keys)
+            configuration->m_keys.emplace(key, i);
     }
-    return std::shared_ptr<const fleet_configuration>(std::move(made));
+    return std::shared_ptr<const fleet_configuration>(std::move(configuration));
 }
 
 const route_spec* fleet_configuration::findRoute(std::string_view host, std::string_view path) const
 {
-    // Prefixes end with a slash, so only these cuts of the path can match.
+    // Prefixes end with a slash, so only the path cut after a slash can match.
     std::string key = routeKey(host, path);
     while (key.size() > host.size()) {
         if (key.back() == '/') {
@@ -75,8 +75,8 @@
 {
     milliseconds strictest { 0 };
     for (const auto& route : m_contents.routes) {
-        const bool leadsThere = std::any_of(route.services.begin(), route.services.end(), [&](const weighted_service& target) { return target.service == service; });
-        if (!leadsThere || route.gapTarget <= milliseconds(0))
+        const bool targetsService = std::any_of(route.services.begin(), route.services.end(), [&](const weighted_service& target) { return target.service == service; });
+        if (!targetsService || route.gapTarget <= milliseconds(0))
             continue;
         strictest = strictest == milliseconds(0) ? route.gapTarget : std::min(strictest, route.gapTarget);
     }
--- a/Source/policy/fleet_configuration.h
+++ b/Source/policy/fleet_configuration.h
@@ -12,7 +12,7 @@
 
 namespace rampgap {
 
-// What may be done again with a request of a route.
+// Whether the requests of a route may be repeated.
 enum class repeat_rule { idempotent,
     non_idempotent,
     streaming };
@@ -30,11 +30,11 @@
     // Begins and ends with a slash.
     std::string pathPrefix;
     repeat_rule repeat = repeat_rule::non_idempotent;
-    // Longest time that a caller is kept waiting for its final answer.
+    // Longest time that a caller waits for its final answer.
     milliseconds timeout { 0 };
-    // Time to the (first byte of the) answer within which it has its full value.
+    // Target for the time to the answer, of a stream to its first byte; an answer within it has its full value.
     milliseconds latencyTarget { 0 };
-    // Longest pause between two events of a stream that is on time; 0: none is given.
+    // Target for the longest pause between two events of a stream; 0 if none is set.
     milliseconds gapTarget { 0 };
     // 0 is the most urgent.
     int priority = 0;
@@ -48,33 +48,33 @@
     bool operator==(const route_spec&) const = default;
 };
 
-// Published figures of a model engine, from which the time of a pass follows.
+// Published performance figures of a model engine, from which the duration of a pass is computed.
 struct engine_costs {
     int capacity = 1;
     std::int64_t cacheTokens = 0;
-    // Token steps that a pass with writers takes.
+    // Token steps of a pass in which sequences generate tokens.
     int stepsPerPass = 1;
     double stepMs = 0;
     double perSequenceMs = 0;
-    // Per 1,000 tokens of context and writing sequence.
+    // Per 1,000 tokens of context of each generating sequence.
     double contextMsPerThousand = 0;
     double prefillTokensPerMs = 1;
-    // Per million pairs of a token and an earlier one.
+    // Attention cost of the prefill, per million pairs of a token and an earlier one.
     double pairsMsPerMillion = 0;
-    // Prompt tokens read in one step at most.
+    // Most prompt tokens processed in one step.
     int prefillChunk = 512;
     double usualPromptTokens = 0;
     double usualAnswerTokens = 0;
-    // Expert layers: sets of layers that share one placement.
+    // Number of sets of expert layers; the layers of a set share one placement.
     int layerSets = 0;
     int experts = 0;
-    // Slots for experts of one rank and layer set.
+    // Expert slots of one rank for one layer set.
     int slotsPerRank = 0;
     // Experts of a layer set that one preparation may add to a rank.
     int newExpertsPerPrepare = 0;
     double expertMb = 0;
     double linkMbps = 0;
-    // Share of the work for tokens that experts do.
+    // Share of the work for tokens that is done by experts.
     double expertShare = 0;
 
     bool operator==(const engine_costs&) const = default;
@@ -104,7 +104,7 @@
 struct workspace_spec {
     std::string name;
     std::vector<std::string> keys;
-    // Goes before the route's priority where it is 0 or more.
+    // Overrides the route's priority if it is 0 or more.
     int priority = -1;
 
     bool operator==(const workspace_spec&) const = default;
@@ -123,7 +123,7 @@
 // Immutable; looked up by host and path, by key and by name.
 class fleet_configuration {
 public:
-    // Fails if a route names an unknown service or two routes are the same.
+    // Fails if a route names no service or an unknown one, or if two routes have the same host and prefix.
     static result<std::shared_ptr<const fleet_configuration>> make(fleet_contents);
 
     std::uint64_t version() const { return m_contents.version; }
@@ -132,7 +132,7 @@
     const route_spec* findRoute(std::string_view host, std::string_view path) const;
     // The workspace that holds the key; null if none does.
     const workspace_spec* findWorkspace(std::string_view key) const;
-    // Shortest of the longest gaps that routes to a service accept; 0 if none has any.
+    // Strictest gap target of the routes to a service; 0 if none has one.
     milliseconds strictestGap(const std::string& service) const;
     const service_spec* findService(std::string_view name) const;
     // True if requests need a key unless their route is public.
--- a/Source/policy/ini_document.cpp
+++ b/Source/policy/ini_document.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // Boost.PropertyTree reads INI as well, but drops empty sections and line numbers,
-    // and every message must name its line.
+    // Boost.PropertyTree parses INI as well, but drops empty sections and line numbers,
+    // and every error message must name its line.
     class ini_parser {
     public:
         explicit ini_parser(std::string file)
@@ -16,57 +16,57 @@
         {
         }
 
-        void take(std::string line, int number)
+        void parseLine(std::string line, int number)
         {
             boost::algorithm::trim(line);
             if (line.empty() || line[0] == ';' || line[0] == '#')
                 return;
             if (line[0] == '[')
-                takeSection(line, number);
+                parseSection(line, number);
             else
-                takeEntry(line, number);
+                parseEntry(line, number);
         }
 
         std::vector<ini_section> sections;
         std::vector<input_error> errors;
 
     private:
-        void takeSection(const std::string& line, int number)
+        void parseSection(const std::string& line, int number)
         {
             if (line.back() != ']')
-                return fault(number, line, "section without ]", "write [section]");
+                return addError(number, line, "section without ]", "write [section]");
             std::string name = line.substr(1, line.size() - 2);
             boost::algorithm::trim(name);
             if (name.empty())
-                return fault(number, line, "section without a name", "write [section]");
+                return addError(number, line, "section without a name", "write [section]");
             for (const auto& known : sections) {
                 if (known.name == name)
-                    fault(number, line, "section appears twice, first in line " + std::to_string(known.line), "merge the two");
+                    addError(number, line, "section appears twice, first in line " + std::to_string(known.line), "merge the two");
             }
             sections.push_back({ name, number, {} });
         }
 
-        void takeEntry(const std::string& line, int number)
+        void parseEntry(const std::string& line, int number)
         {
             const auto equals = line.find('=');
             if (equals == std::string::npos)
-                return fault(number, line, "neither a section nor key = value", "write key = value");
+                return addError(number, line, "neither a section nor key = value", "write key = value");
             std::string key = line.substr(0, equals);
             std::string value = line.substr(equals + 1);
             boost::algorithm::trim(key);
             boost::algorithm::trim(value);
             if (key.empty())
-                return fault(number, line, "no key before =", "write key = value");
+                return addError(number, line, "no key before =", "write key = value");
             if (sections.empty())
-                return fault(number, key, "key before the first section", "move it below a [section] line");
+                return addError(number, key, "key before the first section", "move it below a [section] line");
             if (sections.back().find(key))
-                return fault(number, key, "key appears twice in [" + sections.back().name + "]", "remove one of them");
+                return addError(number, key, "key appears twice in [" + sections.back().name + "]", "remove one of them");
             sections.back().entries.push_back({ std::move(key), std::move(value), number });
         }
 
-        void fault(int number, const std::string& key, std::string problem, std::string mend)
+        void addError(int number, const std::string& key, std::string problem, std::string fix)
         {
-            errors.push_back({ m_file, number, key, std::move(problem), std::move(mend) });
+            errors.push_back({ m_file, number, key, std::move(problem), std::move(fix) });
         }
 
         std::string m_file;
@@ -82,8 +82,8 @@
     if (!error.key.empty())
         text += ": " + error.key;
     text += ": " + error.problem;
-    if (!error.mend.empty())
-        text += "; " + error.mend;
+    if (!error.fix.empty())
+        text += "; " + error.fix;
     return text;
 }
 
@@ -110,7 +110,7 @@
     std::istringstream stream { std::string(text) };
     std::string line;
     for (int number = 1; std::getline(stream, line); ++number)
-        parser.take(line, number);
+        parser.parseLine(line, number);
     if (!parser.errors.empty())
         return std::move(parser.errors);
     ini_document document;
--- a/Source/policy/ini_document.h
+++ b/Source/policy/ini_document.h
@@ -1,4 +1,4 @@
-// INI text with the line of each key, so that messages can say where to mend.
+// INI text with the line of each key, so that error messages can point to it.
 #pragma once
 
 #include <boost/outcome.hpp>
@@ -8,18 +8,18 @@
 
 namespace rampgap {
 
-// One fault in a settings file or declaration and how to mend it.
+// One error in a settings file or declaration and how to fix it.
 struct input_error {
     std::string file;
     int line = 0;
     std::string key;
     std::string problem;
-    std::string mend;
+    std::string fix;
 
     bool operator==(const input_error&) const = default;
 };
 
-// "file:line: key: problem; mend".
+// "file:line: key: problem; fix".
 std::string toString(const input_error&);
 std::string toString(const std::vector<input_error>&);
 
--- a/Source/policy/revision_chain.cpp
+++ b/Source/policy/revision_chain.cpp
@@ -10,8 +10,8 @@
     constexpr std::size_t keptRevisions = 8;
     constexpr std::size_t keptRefusals = 16;
 
-    // The fault that makes a document unusable on its own, whatever is in force.
-    std::string selfFault(const declaration& offered)
+    // Error that makes a document invalid whatever is in force; empty if there is none.
+    std::string intrinsicError(const declaration& offered)
     {
         const declaration_link& link = offered.link();
         if (link.revision == 0)
@@ -58,16 +58,16 @@
     std::string digest = offered.digest();
     if (digest == m_digest)
         return { offer_kind::known, link.revision, {} };
-    if (const std::string fault = selfFault(offered); !fault.empty())
-        return refuse(link.revision, fault);
+    if (const std::string error = intrinsicError(offered); !error.empty())
+        return refuse(link.revision, error);
     if (link.revision == revision())
         return refuse(link.revision, "another declaration is in force under this revision: plan again on it");
     if (link.revision < revision()) {
-        // A stale service shows old revisions again; that is no fault of an operator.
-        const bool lost = link.baseRevision < revision() && source == document_source::service
+        // A stale service may show old revisions again: that is not an operator's error.
+        const bool conflicting = link.baseRevision < revision() && source == document_source::service
             && std::none_of(m_kept.begin(), m_kept.end(), [&](const kept_document& kept) { return kept.revision == link.revision; })
             && !m_kept.empty() && link.revision > m_kept.front().revision;
-        return lost ? refuse(link.revision, "a later revision is in force: plan again on it") : offer_outcome { offer_kind::known, link.revision, {} };
+        return conflicting ? refuse(link.revision, "a later revision is in force: plan again on it") : offer_outcome { offer_kind::known, link.revision, {} };
     }
     const bool linked = m_inForce ? link.baseDigest == m_digest : link.baseRevision == 0;
     if (source == document_source::service && !linked)
@@ -85,15 +85,15 @@
     return outcome;
 }
 
-// Without memory it is unknown which of the latest documents was in force. One that
-// another names as its base was: operators plan on what is in force.
+// After a start it is unknown which of the latest documents were in force. One that another names
+// as its base was, since operators plan on what is in force.
 bool revision_chain::startInWindow(const std::vector<published_document>& window)
 {
     std::set<std::string> bases;
     std::vector<declaration> documents;
     for (const auto& published : window) {
         auto parsed = declaration::parse(published.text, "declaration");
-        if (!parsed || !selfFault(parsed.value()).empty())
+        if (!parsed || !intrinsicError(parsed.value()).empty())
             continue;
         bases.insert(parsed.value().link().baseDigest);
         documents.push_back(std::move(parsed.value()));
--- a/Source/policy/revision_chain.h
+++ b/Source/policy/revision_chain.h
@@ -1,4 +1,4 @@
-// The chain of accepted declarations: decides what comes in force; never goes back.
+// The chain of accepted declarations: decides which one comes into force and never goes back.
 #pragma once
 
 #include "policy/declaration.h"
@@ -10,7 +10,7 @@
 
 namespace rampgap {
 
-// Who showed a document: the configuration service, or a process that has it in force.
+// Source of a document: the configuration service, or a process that has it in force.
 enum class document_source { service,
     peer };
 
@@ -18,7 +18,7 @@
     known,
     refused };
 
-// A document as the service holds it: under the number of its revision.
+// A document that the service stores under the number of its revision.
 struct published_document {
     std::uint64_t number = 0;
     std::string text;
@@ -26,7 +26,7 @@
     bool operator==(const published_document&) const = default;
 };
 
-// What became of an offered document. `reason` is set for refused ones.
+// Result of offering a document. `reason` is set for refused ones.
 struct offer_outcome {
     offer_kind kind = offer_kind::known;
     std::uint64_t revision = 0;
@@ -40,10 +40,10 @@
     // Offers one document. From the service it must follow the one in force; a peer's
     // document was checked by that peer against its own chain.
     offer_outcome offer(const std::string& text, document_source);
-    // Offers what the service holds; remembers its number even if it cannot be read.
+    // Offers a document of the service; records its number even if it cannot be parsed.
     offer_outcome offerPublished(const published_document&);
-    // Offers what the service shows a process without memory: its latest documents, oldest
-    // first, or its whole history. If nothing comes in force, a longer window is needed.
+    // Offers documents of the service to a process that has none yet: the latest ones, oldest first,
+    // or the whole history. If none comes into force, a longer window is needed.
     std::vector<offer_outcome> offerWindow(const std::vector<published_document>& documents, bool wholeHistory);
 
     // Null until a declaration is in force.
@@ -53,8 +53,8 @@
     // The highest revision number seen, whether or not it was accepted.
     std::uint64_t highestSeen() const { return m_highestSeen; }
 
-    // Texts that bring a process at `revision` to ours: every later one that is kept,
-    // or only the one in force if the chain does not reach back that far.
+    // Documents that bring a process at `revision` to our revision: all later ones, or only the one
+    // in force if the chain does not reach back that far.
     std::vector<std::string> after(std::uint64_t revision) const;
     const std::deque<offer_outcome>& refusals() const { return m_refusals; }
 
--- a/Source/policy/section_reader.cpp
+++ b/Source/policy/section_reader.cpp
@@ -41,28 +41,28 @@
 {
 }
 
-const ini_entry* section_reader::take(std::string_view key)
+const ini_entry* section_reader::readEntry(std::string_view key)
 {
-    m_known.emplace(key);
+    m_readKeys.emplace(key);
     return m_section.find(key);
 }
 
-void section_reader::reject(std::string_view key, std::string problem, std::string mend)
+void section_reader::reject(std::string_view key, std::string problem, std::string fix)
 {
     const ini_entry* entry = m_section.find(key);
     const int line = entry ? entry->line : m_section.line;
-    m_errors.push_back({ m_document.file(), line, "[" + m_section.name + "] " + std::string(key), std::move(problem), std::move(mend) });
+    m_errors.push_back({ m_document.file(), line, "[" + m_section.name + "] " + std::string(key), std::move(problem), std::move(fix) });
 }
 
 std::string section_reader::text(std::string_view key, std::string_view fallback)
 {
-    const ini_entry* entry = take(key);
+    const ini_entry* entry = readEntry(key);
     return entry ? entry->value : std::string(fallback);
 }
 
 std::string section_reader::requiredText(std::string_view key)
 {
-    const ini_entry* entry = take(key);
+    const ini_entry* entry = readEntry(key);
     if (!entry || entry->value.empty()) {
         reject(key, "missing", "add " + std::string(key) + " = ...");
         return {};
@@ -72,7 +72,7 @@
 
 std::int64_t section_reader::number(std::string_view key, std::int64_t fallback, number_range range)
 {
-    const ini_entry* entry = take(key);
+    const ini_entry* entry = readEntry(key);
     if (!entry)
         return fallback;
     std::int64_t value = 0;
@@ -86,7 +86,7 @@
 
 double section_reader::real(std::string_view key, double fallback, double least, double most)
 {
-    const ini_entry* entry = take(key);
+    const ini_entry* entry = readEntry(key);
     if (!entry)
         return fallback;
     double value = 0;
@@ -99,7 +99,7 @@
 
 bool section_reader::flag(std::string_view key, bool fallback)
 {
-    const ini_entry* entry = take(key);
+    const ini_entry* entry = readEntry(key);
     if (!entry)
         return fallback;
     if (entry->value == "yes")
@@ -111,13 +111,13 @@
 
 std::vector<std::string> section_reader::list(std::string_view key)
 {
-    const ini_entry* entry = take(key);
+    const ini_entry* entry = readEntry(key);
     return entry ? splitList(entry->value) : std::vector<std::string> {};
 }
 
 std::string section_reader::address(std::string_view key, std::string_view fallback, bool allowZero)
 {
-    const ini_entry* entry = take(key);
+    const ini_entry* entry = readEntry(key);
     std::string value = entry ? entry->value : std::string(fallback);
     const auto colon = value.rfind(':');
     boost::system::error_code error;
@@ -136,7 +136,7 @@
 void section_reader::rejectUnknown()
 {
     for (const auto& entry : m_section.entries) {
-        if (!m_known.contains(entry.key))
+        if (!m_readKeys.contains(entry.key))
             reject(entry.key, "unknown key", "remove it or see docs/reference/");
     }
 }
--- a/Source/policy/section_reader.h
+++ b/Source/policy/section_reader.h
@@ -1,4 +1,4 @@
-// Reads the options of one INI section with checks; collects every fault found.
+// Reads and checks the options of one INI section; collects every error found.
 #pragma once
 
 #include "policy/ini_document.h"
@@ -17,7 +17,7 @@
 
 class section_reader {
 public:
-    // `errors` collects the faults; both must outlive the reader.
+    // Adds the errors found to `errors`; all three must outlive the reader.
     section_reader(const ini_document&, const ini_section&, std::vector<input_error>& errors);
 
     std::string text(std::string_view key, std::string_view fallback);
@@ -29,17 +29,17 @@
     // "host:port" by IP number; port 0 asks the kernel for one where `allowZero`.
     std::string address(std::string_view key, std::string_view fallback, bool allowZero);
 
-    // Call last: reports keys that no call asked for.
+    // Call last: reports the keys that were not read.
     void rejectUnknown();
-    void reject(std::string_view key, std::string problem, std::string mend);
+    void reject(std::string_view key, std::string problem, std::string fix);
 
 private:
-    const ini_entry* take(std::string_view key);
+    const ini_entry* readEntry(std::string_view key);
 
     const ini_document& m_document;
     const ini_section& m_section;
     std::vector<input_error>& m_errors;
-    std::set<std::string, std::less<>> m_known;
+    std::set<std::string, std::less<>> m_readKeys;
 };
 
 // Splits at commas and drops blanks.
--- a/Source/policy/timeline.h
+++ b/Source/policy/timeline.h
@@ -1,4 +1,4 @@
-// The time line: typed events of one process, merged over all in causal order.
+// Timeline: typed events of one process; those of all processes are merged in causal order.
 #pragma once
 
 #include <cstdint>
@@ -65,7 +65,7 @@
     std::deque<timeline_event> m_events;
 };
 
-// All events in an order that no cause follows its effect.
+// All events in an order in which no effect precedes its cause.
 std::vector<timeline_event> mergeTimelines(std::vector<timeline_event>);
 
 } // namespace rampgap
--- a/Tests/config/chain-property/test.cpp
+++ b/Tests/config/chain-property/test.cpp
@@ -1,4 +1,4 @@
-// One chain of revisions everywhere, under a stale service, loss, restarts and cuts.
+// All processes have the same chain of revisions, under a stale service, lost messages, restarts and cuts.
 
 #include "policy/digest.h"
 #include "policy/revision_chain.h"
@@ -26,7 +26,7 @@
     return body.linkedAs({ revision, baseRevision, base, planDigest(base, body.canonicalBody()) });
 }
 
-// A published history, readers of it, and messages between processes.
+// Model of a published history, processes that read it, and messages between them.
 class fleet_model {
 public:
     fleet_model()
@@ -69,7 +69,7 @@
             exchange(node, 0);
     }
 
-    // What a process that saw everything in order has in force.
+    // The revision in force at a process that read everything in order.
     std::uint64_t reference() const
     {
         revision_chain chain;
@@ -83,7 +83,7 @@
 private:
     void publish(std::string text) { m_history.push_back(std::move(text)); }
 
-    // An operator acts through one process, whose view may be old.
+    // An operator acts through one process, whose state may be stale.
     void operate(std::size_t node)
     {
         const revision_chain& chain = m_nodes[node];
@@ -107,14 +107,14 @@
         }
     }
 
-    // Reads the history as a service shows it that stands at `visible`.
+    // Reads the history from a service that shows the first `visible` documents.
     void read(std::size_t node, std::size_t visible)
     {
         std::vector<published_document> seen;
         for (std::size_t i = 0; i < visible; ++i)
             seen.push_back({ i + 1, m_history[i] });
         if (m_nodes[node].inForce()) {
-            // Later ones than were ever seen; a stale service shows none.
+            // Only documents later than any seen before; a stale service shows none.
             const std::size_t from = std::min<std::size_t>(m_nodes[node].highestSeen(), visible);
             for (std::size_t i = from; i < visible; ++i)
                 m_nodes[node].offerPublished(seen[i]);
@@ -138,7 +138,7 @@
         check(to);
     }
 
-    // A message of a peer that was under way for long, or comes again.
+    // A peer's message that arrives late or a second time.
     void deliverLate(std::size_t to)
     {
         if (m_late.empty())
@@ -169,7 +169,7 @@
 
 } // namespace
 
-TEST_CASE("all processes hold one chain, none goes back, and they meet after healing")
+TEST_CASE("all processes have one chain, none goes back to an earlier revision, and they agree after healing")
 {
     CHECK(rc::check("one chain", [] {
         fleet_model fleet;
@@ -181,7 +181,7 @@
     }));
 }
 
-TEST_CASE("of two operators on one base, one wins and the other is told")
+TEST_CASE("of two declarations with the same base one is accepted, the other is refused with a reason")
 {
     revision_chain chain;
     chain.offer(confirmed(1, 1, 0, "").canonicalText(), document_source::service);
@@ -196,7 +196,7 @@
     CHECK(chain.refusals().size() == 2);
 }
 
-TEST_CASE("what is refused on its own, whatever is in force")
+TEST_CASE("invalid documents are refused whatever is in force")
 {
     revision_chain chain;
     const declaration good = confirmed(1, 1, 0, "");
--- a/Tests/config/declaration-input/test.cpp
+++ b/Tests/config/declaration-input/test.cpp
@@ -1,4 +1,4 @@
-// Declarations: each fault is named with file, line, key and mend; nothing is half-applied.
+// Declarations: each error is reported with file, line, key and fix; nothing is partly applied.
 
 #include "policy/declaration.h"
 
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("messages name file, line, key, problem and mend")
+TEST_CASE("messages name file, line, key, problem and fix")
 {
     CHECK(faultOf("[rules]\nid_life_ms = soon\n") == "fleet.ini:2: [rules] id_life_ms: 'soon' is not a whole number of milliseconds from 1 to 86400000; write a number in that range");
     CHECK(faultOf("[rules]\nlife = 3\n").find("fleet.ini:2: [rules] life: unknown key") != std::string::npos);
@@ -39,14 +39,14 @@
     CHECK(faultOf("[group g]\nmodel = m\nranks = x\nexperts = 8\nslots_per_rank = 2\n").find("fewer slots than experts") != std::string::npos);
 }
 
-TEST_CASE("all faults are reported at once")
+TEST_CASE("all errors are reported at once")
 {
     const auto parsed = declaration::parse("[rules]\nid_life_ms = x\nretry_percent = 101\n[group g]\nmodel = m\nranks = a\n", "f");
     REQUIRE(parsed.has_error());
     CHECK(parsed.error().size() == 4);
 }
 
-TEST_CASE("the canonical text parses to the same declaration, and any text is survived")
+TEST_CASE("the canonical text parses to the same declaration, and no text crashes the parser")
 {
     CHECK(rc::check("any text", [](const std::string& text) { RC_ASSERT(declaration::parse(text, "f").has_value() || text.size() > 0); }));
     for (const std::string name : { "agency.ini", "plakanet.ini" }) {
@@ -58,15 +58,15 @@
     }
 }
 
-TEST_CASE("mutilated examples are refused or valid, never half-applied")
+TEST_CASE("corrupted examples are refused or valid, never partly applied")
 {
     const std::string text = readExample("agency.ini");
     CHECK(rc::check("cut and changed", [&] {
-        std::string broken = text;
-        const auto at = *rc::gen::inRange<std::size_t>(0, broken.size());
-        broken[at] = *rc::gen::arbitrary<char>();
-        broken.resize(*rc::gen::inRange<std::size_t>(at, broken.size()));
-        const auto parsed = declaration::parse(broken, "f");
+        std::string corrupted = text;
+        const auto position = *rc::gen::inRange<std::size_t>(0, corrupted.size());
+        corrupted[position] = *rc::gen::arbitrary<char>();
+        corrupted.resize(*rc::gen::inRange<std::size_t>(position, corrupted.size()));
+        const auto parsed = declaration::parse(corrupted, "f");
         if (parsed)
             RC_ASSERT(declaration::parse(parsed.value().canonicalText(), "f").value() == parsed.value());
         else
--- a/Tests/config/plan/test.cpp
+++ b/Tests/config/plan/test.cpp
@@ -1,4 +1,4 @@
-// Plans: exact changes, costs and warnings; bound to base and body.
+// Plans list the exact changes, costs and warnings, and are bound to base and body.
 
 #include "policy/change_plan.h"
 #include "policy/revision_chain.h"
@@ -37,7 +37,7 @@
     CHECK(change_plan::make(base, base, 1).changes().empty());
 }
 
-TEST_CASE("a drained backend: one change, its cost, a zone left without")
+TEST_CASE("draining a backend: one change, its cost, and a warning about the zone left without a backend")
 {
     const auto plan = change_plan::make(base, *base.withDraining("s2"), 4);
     REQUIRE(plan.changes().size() == 1);
@@ -48,7 +48,7 @@
     CHECK(mentions(plan.warnings(), "no backend server left in zone ariana"));
 }
 
-TEST_CASE("a backend that stops without draining, and a longer id life, are warned of")
+TEST_CASE("a backend that stops without draining and a longer id life give warnings")
 {
     const auto stopped = change_plan::make(base, parsed(backend("s1", "lac") + backend("s2", "ariana", "stopped = yes\n")), 1);
     CHECK(mentions(stopped.warnings(), "without draining"));
