--- a/Source/agent/home_keeper.cpp
+++ b/Source/agent/home_keeper.cpp
@@ -41,14 +41,14 @@
 awaitable<void> home_keeper::loop()
 {
     for (;;) {
-        if (!m_guard.ownership().settled()) {
-            for (const auto& name : m_guard.ownership().proofsMissing())
+        if (!m_guard.ownership().allConfirmed()) {
+            for (const auto& name : m_guard.ownership().unconfirmedAgents())
                 co_await askForProof(name);
         }
-        for (const auto& name : m_guard.ownership().handoversMissing())
+        for (const auto& name : m_guard.ownership().pendingHandovers())
             co_await askForHandover(name);
         // Last, so that the keeper answers for the ids until this agent can.
-        if (m_guard.ownership().proven() && !m_memorySought)
+        if (m_guard.ownership().revisionConfirmed() && !m_memorySought)
             co_await restoreMemory();
         m_timer.expires_after(askInterval);
         co_await m_timer.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -71,7 +71,7 @@
     return request;
 }
 
-agent_standing home_keeper::standingOf(const wire::Standing& sender)
+agent_status home_keeper::standingOf(const wire::Standing& sender)
 {
     m_context.timeline().observe(sender.clock());
     return { sender.name(), sender.incarnation(), sender.revision() };
@@ -95,7 +95,7 @@
         co_return;
     const auto reply = co_await m_peers.handover(address, makeRequest(false, false), askTimeout);
     if (reply && reply.value().sender().name() == name)
-        m_guard.ownership().notePeer(standingOf(reply.value().sender()), m_context.now());
+        m_guard.ownership().mergePeerState(standingOf(reply.value().sender()), m_context.now());
 }
 
 awaitable<void> home_keeper::askForHandover(std::string name)
@@ -116,13 +116,13 @@
     const bool settled = co_await askKeepers();
     m_memorySought = settled || ++m_memoryTurns >= mostMemoryTurns;
     if (m_memorySought)
-        m_guard.ownership().noteNoMemory();
+        m_guard.ownership().recordMemoryUnavailable();
 }
 
 awaitable<bool> home_keeper::askKeepers()
 {
     bool allAnswered = true;
-    for (const auto& name : m_guard.ownership().keepers()) {
+    for (const auto& name : m_guard.ownership().standbys()) {
         const auto reply = co_await m_peers.handover(peerAddress(name), makeRequest(true, true), askTimeout);
         if (!reply) {
             allAnswered = false;
@@ -149,7 +149,7 @@
     request.set_grant_ms(static_cast<std::uint64_t>(deposit->grantLifetime.count()));
     for (const std::uint64_t hash : deposit->ids)
         request.add_ids(hash);
-    for (const auto& name : m_guard.ownership().keepers()) {
+    for (const auto& name : m_guard.ownership().standbys()) {
         const auto reply = co_await m_peers.deposit(peerAddress(name), request, askTimeout);
         if (reply && reply.value().accepted()) {
             logState("ids_given_away", "to=" + name + " ids=" + std::to_string(request.ids_size()));
--- a/Source/agent/home_keeper.h
+++ b/Source/agent/home_keeper.h
@@ -29,7 +29,7 @@
     awaitable<bool> askKeepers();
     std::string peerAddress(const std::string& name) const;
     wire::HandoverRequest makeRequest(bool takeBack, bool wantIds) const;
-    agent_standing standingOf(const wire::Standing&);
+    agent_status standingOf(const wire::Standing&);
     handover_answer answerOf(const wire::HandoverReply&);
 
     process_context& m_context;
--- a/Source/bench/bench_control.cpp
+++ b/Source/bench/bench_control.cpp
@@ -62,11 +62,11 @@
                 const std::uint64_t prefix = random() % 5'000 + 1;
                 const auto begin = clock::now();
                 const backend_id chosen = policy->choose({ service, prefix, {}, now }, table, random);
-                policy->notePlaced(prefix, chosen, now);
+                policy->recordPlacement(prefix, chosen, now);
                 samples.push_back(nsSince(begin));
-                table.noteSent(chosen);
+                table.recordSent(chosen);
                 if (i > 2'000)
-                    table.noteEnded(static_cast<backend_id>(random() % static_cast<std::uint64_t>(engines)));
+                    table.recordEnded(static_cast<backend_id>(random() % static_cast<std::uint64_t>(engines)));
             }
             std::cout << "what=routing_decision policy=" << name << " engines=" << engines << " ns_p50=" << percentile(samples, 0.5) << " ns_p99=" << percentile(samples, 0.99) << "\n";
         }
--- a/Source/bench/routing_lab.cpp
+++ b/Source/bench/routing_lab.cpp
@@ -140,12 +140,12 @@
                 if (chosen == noBackend)
                     break;
                 if (!reachable(request.entry, chosen)) {
-                    table.noteConnectFailed(chosen, at(now));
+                    table.recordConnectFailure(chosen, at(now));
                     tried.push_back(chosen);
                     continue;
                 }
-                policy.notePlaced(request.prefix, chosen, at(now));
-                table.noteSent(chosen);
+                policy.recordPlacement(request.prefix, chosen, at(now));
+                table.recordSent(chosen);
                 const double delay = static_cast<int>(chosen) % zones == request.entry % zones ? 0 : zoneDelayMs;
                 plan(now + delay, [this, request, chosen] { join(request, chosen); });
                 return;
@@ -189,7 +189,7 @@
                 start(next, id);
             }
             backend_table& table = m_tables[static_cast<std::size_t>(request.entry)];
-            table.noteEnded(id);
+            table.recordEnded(id);
             // The head of the answer carried the load of then; it is used later still.
             const load_report report { engine.running, static_cast<int>(engine.waiting.size()), m_runMs[id] };
             const double lag = m_case.reportLagMs;
--- a/Source/daemon/configuration_node.cpp
+++ b/Source/daemon/configuration_node.cpp
@@ -200,7 +200,7 @@
     return places;
 }
 
-bool configuration_node::isPickedEntry(std::string_view key) const
+bool configuration_node::isResponsibleEntry(std::string_view key) const
 {
     std::vector<std::string> names { m_context.name() };
     for (const auto& vm : m_vms.vms) {
@@ -215,7 +215,7 @@
     const auto all = peers();
     if (all.empty())
         return std::nullopt;
-    const auto readers = lookedAfterBy(m_context.name(), ownReaderOrder());
+    const auto readers = monitoredBy(m_context.name(), ownReaderOrder());
     if (!readers.empty() && m_context.random()() % readerOneIn == 0) {
         const std::string& chosen = readers[m_context.random()() % readers.size()];
         const auto place = std::find_if(all.begin(), all.end(), [&](const peer_place& peer) { return peer.name == chosen; });
--- a/Source/daemon/configuration_node.h
+++ b/Source/daemon/configuration_node.h
@@ -33,7 +33,7 @@
 
     awaitable<wire::ExchangeReply> onExchange(wire::ExchangeRequest);
     // Of the entry VMs listed as live this one is picked for `key`; all that have the same list agree.
-    bool isPickedEntry(std::string_view key) const;
+    bool isResponsibleEntry(std::string_view key) const;
     // Tells a few random processes what is new in the history of crashes; they tell others.
     void tellCrashes();
     // Learns what the agent of a backend server knows of a request that was lost there.
--- a/Source/entry/entry_server.cpp
+++ b/Source/entry/entry_server.cpp
@@ -40,7 +40,7 @@
         return peer.error();
     made->m_peerServer = std::move(peer.value());
     const std::string host = hostOf(made->m_settings.process.peerListen);
-    made->m_history.setIsolatedAttemptFilter([raw = made.get()](request_fingerprint request) { return raw->m_configuration.isPickedEntry(toString(request)); });
+    made->m_history.setIsolatedAttemptFilter([raw = made.get()](request_fingerprint request) { return raw->m_configuration.isResponsibleEntry(toString(request)); });
     made->m_configuration.start(host + ":" + std::to_string(made->peerPort()));
     asio::co_spawn(context.io(), made->watchForPauses(), asio::detached);
     return made;
@@ -79,7 +79,7 @@
             leaving.push_back(vm.name);
         liveEntries += vm.role == vm_role::entry && vm.state == vm_state::live ? 1 : 0;
     }
-    m_dispatcher.noteListedLeaving(leaving);
+    m_dispatcher.recordListedLeaving(leaving);
     // The platform's balancer spreads callers evenly over the live entry VMs.
     m_limiter.setShare(1.0 / std::max(1, liveEntries));
 }
--- a/Source/entry/fleet_snapshot.cpp
+++ b/Source/entry/fleet_snapshot.cpp
@@ -30,7 +30,7 @@
     for (const auto& service : m_declaration->services()) {
         if (service.isModel())
             m_models.emplace(service.name, &service);
-        m_homes.emplace(service.name, m_declaration->homesOf(service.name));
+        m_homes.emplace(service.name, m_declaration->ownersOf(service.name));
     }
 }
 
--- a/Source/entry/request_dispatcher.cpp
+++ b/Source/entry/request_dispatcher.cpp
@@ -3,7 +3,7 @@
 #include "daemon/caller_watch.h"
 #include "daemon/header_names.h"
 #include "daemon/sleep.h"
-#include "policy/home_guard.h"
+#include "policy/ownership_guard.h"
 #include "policy/permit_issuer.h"
 #include "policy/rendezvous.h"
 #include "policy/retry_policy.h"
@@ -109,7 +109,7 @@
             refused->ran = worst;
             co_return refused;
         }
-        const routing_question question { request.service->name, request.prefix, tried, m_context.now() };
+        const routing_input question { request.service->name, request.prefix, tried, m_context.now() };
         const backend_id chosen = m_routing->choose(question, m_table, m_context.random());
         const bool first = tried.empty();
         if (!first) {
@@ -124,7 +124,7 @@
         tried.push_back(chosen);
         last = co_await tryAndLearn(exchange, request, chosen, progress);
         if (!last) {
-            m_routing->notePlaced(request.prefix, chosen, m_context.now());
+            m_routing->recordPlacement(request.prefix, chosen, m_context.now());
             co_return std::nullopt;
         }
         // Once a try may have run, so may the request: a later refusal cannot take it back.
@@ -171,7 +171,7 @@
     const auto& homes = request.fleet->homes(request.service->name);
     const std::string home(rendezvousPick(request.onceId->text(), homes));
     std::vector<std::string> candidates { home };
-    for (auto& keeper : keepersOf(home, homes))
+    for (auto& keeper : standbysOf(home, homes))
         candidates.push_back(std::move(keeper));
 
     std::optional<failure> first;
@@ -216,7 +216,7 @@
     if (epoch != m_pauses.epoch())
         co_return paused;
     if (!response) {
-        m_table.noteConnectFailed(id, m_context.now());
+        m_table.recordConnectFailure(id, m_context.now());
         failure failed = response.error();
         failed.ran = verdict::not_run;
         failed.reason = failure_reason::connection_lost;
@@ -269,11 +269,11 @@
 {
     const bool asksForLess = refused.reason == failure_reason::server_limit || refused.reason == failure_reason::server_backoff;
     if (asksForLess && refused.retryAfter)
-        m_table.notePause(id, *refused.retryAfter, m_context.now());
+        m_table.recordPause(id, *refused.retryAfter, m_context.now());
     if (refused.reason == failure_reason::leaving)
-        m_table.noteLeaving(id, m_context.now());
+        m_table.recordLeaving(id, m_context.now());
     if (refused.reason == failure_reason::backend_error && refused.ran == verdict::not_run)
-        m_table.noteConnectFailed(id, m_context.now());
+        m_table.recordConnectFailure(id, m_context.now());
     if (refused.reason == failure_reason::not_ready)
         m_permits.erase(id);
     // The agent's clock shows a pause that this process's clocks did not.
@@ -288,14 +288,14 @@
 {
     http_call call(m_client);
     const caller_watch watch(exchange, [&call] { call.cancel(); });
-    m_table.noteSent(id);
+    m_table.recordSent(id);
     m_context.note(event_kind::request_sent, request.correlation, "to=" + m_table.view(id).name);
     auto head = co_await call.start(m_table.view(id).address, makeUpstream(exchange.request(), request, id, progress, permitText), request.deadline);
     std::optional<failure> failed;
     if (!head) {
         failed = head.error();
         if (failed->ran == verdict::not_run)
-            m_table.noteConnectFailed(id, m_context.now());
+            m_table.recordConnectFailure(id, m_context.now());
     } else {
         noteHead(id, head.value());
         failed = statedFailure(head.value());
@@ -316,7 +316,7 @@
                 failed = outcome.failed;
         }
     }
-    m_table.noteEnded(id);
+    m_table.recordEnded(id);
     if (exchange.callerGone())
         co_return std::nullopt;
     if (failed)
--- a/Source/entry/request_dispatcher.h
+++ b/Source/entry/request_dispatcher.h
@@ -19,7 +19,7 @@
     request_dispatcher(process_context&, http_client&, configuration_node&, crash_history&, std::unique_ptr<routing_policy>, pause_detector&);
 
     void apply(const declaration&);
-    void noteListedLeaving(const std::vector<std::string>& names) { m_table.noteListedLeaving(names); }
+    void recordListedLeaving(const std::vector<std::string>& names) { m_table.recordListedLeaving(names); }
     // Forgets all permits: after a pause they prove nothing.
     void dropPermits() { m_permits.clear(); }
 
--- a/Source/gateway/agent_process.cpp
+++ b/Source/gateway/agent_process.cpp
@@ -33,7 +33,7 @@
     // A group whose ranks were cut off opens 0.6 s after the cut, but their entries lapsed in
     // it and come back up to 2 s later. Agents send no requests: they go on with the ranks
     // they know, beyond any cut that the users list.
-    constexpr milliseconds lapsedLife { 20'000 };
+    constexpr milliseconds lapsedRetention { 20'000 };
     constexpr std::size_t largestDatagram = 65'536;
     constexpr unsigned short membershipPortOffset = 1;
     constexpr unsigned short callPortOffset = 2;
@@ -46,8 +46,8 @@
     , m_log(log)
     , m_settings(std::move(settings))
     , m_port(port)
-    , m_state(context, log, decoder, lapsedLife)
-    , m_loads(loadReportLife)
+    , m_state(context, log, decoder, lapsedRetention)
+    , m_loads(loadReportLifetime)
     , m_groups(groupUpdateLifetime)
     , m_link(context, log, port, static_cast<unsigned short>(m_settings.firstPeerPort + callPortOffset), m_settings.engineAddress)
     , m_leader(context, log, m_state, m_link, m_roster, m_settings.linkMbps)
--- a/Source/gateway/agent_process.h
+++ b/Source/gateway/agent_process.h
@@ -61,7 +61,7 @@
     gateway_settings m_settings;
     rank_port& m_port;
     fleet_state m_state;
-    load_board m_loads;
+    load_table m_loads;
     group_directory m_groups;
     crash_history m_history;
     server_limits m_limits;
--- a/Source/gateway/fleet_decoder.cpp
+++ b/Source/gateway/fleet_decoder.cpp
@@ -18,7 +18,7 @@
 
 // Without a configuration nobody is served; a server without an entry is gone, or says soon
 // that it is not.
-bool fleet_decoder::holdsUnlisted(const published_item& item) const
+bool fleet_decoder::staysInForceUnlisted(const published_item& item) const
 {
     return isConfiguration(item.key);
 }
--- a/Source/gateway/fleet_decoder.h
+++ b/Source/gateway/fleet_decoder.h
@@ -20,7 +20,7 @@
     // Configurations are ordered by version; servers by their start, and none that said that it
     // leaves, or has gone, is ready again in the same life.
     std::optional<item_rank> rank(const published_item&) const override;
-    bool holdsUnlisted(const published_item&) const override;
+    bool staysInForceUnlisted(const published_item&) const override;
 };
 
 } // namespace rampgap
--- a/Source/gateway/fleet_state.cpp
+++ b/Source/gateway/fleet_state.cpp
@@ -22,12 +22,12 @@
 
 } // namespace
 
-fleet_state::fleet_state(process_context& context, decision_log& log, const fleet_decoder& decoder, milliseconds lapsedLife)
+fleet_state::fleet_state(process_context& context, decision_log& log, const fleet_decoder& decoder, milliseconds lapsedRetention)
     : m_context(context)
     , m_log(log)
     , m_decoder(decoder)
     , m_published(decoder)
-    , m_backends(lapsedLife)
+    , m_backends(lapsedRetention)
 {
 }
 
@@ -36,14 +36,14 @@
     if (snapshot.position() < m_published.position())
         return false;
     noteEpoch(snapshot.position(), m_context.now());
-    apply(m_published.take(snapshot, meaningOfRemoval()), "store");
+    apply(m_published.apply(snapshot, meaningOfRemoval()), "store");
     noteStoreProof(snapshot.position(), askedAt);
     return true;
 }
 
 void fleet_state::take(const published_update& update, store_position from, instant askedAt)
 {
-    apply(m_published.take(update.changes, from, update.revision, meaningOfRemoval()), "store");
+    apply(m_published.apply(update.changes, from, update.revision, meaningOfRemoval()), "store");
     noteStoreProof({ from.epoch, update.revision }, askedAt);
 }
 
@@ -52,31 +52,31 @@
     const instant now = m_context.now();
     // Whoever has followed the store all the while knows who is gone: this process may have been
     // cut off or suspended since the store's return.
-    const bool peerKnows = told.summary.position >= m_published.position() && told.listSettled && told.provenAt && now - *told.provenAt < shortestLapse;
+    const bool peerKnows = told.summary.position >= m_published.position() && told.listSettled && told.freshAsOf && now - *told.freshAsOf < shortestLapse;
     m_doubtUntil = peerKnows ? now : std::max(m_doubtUntil, now + told.doubt);
     if (told.delta.position > m_published.position())
         noteEpoch(told.delta.position, told.restoredAt.value_or(now));
     const std::string source = "peer " + peer;
-    auto changes = m_published.take(told.delta, meaningOfRemoval());
+    auto changes = m_published.apply(told.delta, meaningOfRemoval());
     if (told.restoredAt)
         notePeerRestored(told.summary.position.epoch, *told.restoredAt);
     const bool listSettled = !m_restoredAt || now - *m_restoredAt >= listSettlesWithin;
     // What the peer retains stands in the place of what it read, from the first moment on.
-    for (auto& retained : m_published.join(told.retained, listSettled)) {
+    for (auto& retained : m_published.mergeRetained(told.retained, listSettled)) {
         std::erase_if(changes, [&retained](const published_change& read) { return read.item.key == retained.item.key; });
         changes.push_back(std::move(retained));
     }
     apply(changes, source);
-    if (told.provenAt)
-        notePeerProof(told.summary, *told.provenAt);
+    if (told.freshAsOf)
+        notePeerProof(told.summary, *told.freshAsOf);
 }
 
 // Two processes may stand at the same position and know different things that the store has
 // forgotten: a proof holds for one who knows the same.
-void fleet_state::notePeerProof(const state_summary& told, instant provenAt)
+void fleet_state::notePeerProof(const state_summary& told, instant freshAsOf)
 {
     if (told == summary())
-        m_published.noteProof(told.position, provenAt);
+        m_published.recordFreshness(told.position, freshAsOf);
 }
 
 // Whoever finds the restoration late, suspended or cut off until then, need not wait as long once
@@ -87,7 +87,7 @@
         return;
     m_restoredAt = restoredAt;
     m_doubtUntil = std::min(m_doubtUntil, restoredAt + lapsedEntriesReturn);
-    m_backends.keepNoLongerThan(m_doubtUntil);
+    m_backends.limitRetention(m_doubtUntil);
 }
 
 void fleet_state::noteEpoch(store_position next, instant seenAt)
@@ -110,7 +110,7 @@
 {
     if (!m_unsettledProof || (m_restoredAt && m_context.now() - *m_restoredAt < peersToldWithin))
         return;
-    m_published.noteProof(m_unsettledProof->position, m_unsettledProof->askedAt);
+    m_published.recordFreshness(m_unsettledProof->position, m_unsettledProof->askedAt);
     m_unsettledProof.reset();
 }
 
@@ -143,7 +143,7 @@
     settleProof();
     if (m_restoredAt && m_context.now() - *m_restoredAt >= listSettlesWithin)
         apply(m_published.expireRetained(), "time");
-    m_backends.settle(m_context.now());
+    m_backends.removeExpired(m_context.now());
 }
 
 bool fleet_state::listSettled() const
@@ -153,7 +153,7 @@
 
 std::optional<milliseconds> fleet_state::proofAge() const
 {
-    const auto proven = m_published.provenAt();
+    const auto proven = m_published.freshAsOf();
     if (!proven)
         return std::nullopt;
     return std::chrono::duration_cast<milliseconds>(m_context.now() - *proven);
--- a/Source/gateway/fleet_state.h
+++ b/Source/gateway/fleet_state.h
@@ -17,7 +17,7 @@
     // Of all that the peer holds.
     state_summary summary;
     // By the age of the peer's proof.
-    std::optional<instant> provenAt;
+    std::optional<instant> freshAsOf;
     // So long yet the peer itself doubts the list of servers.
     milliseconds doubt { 0 };
     bool listSettled = false;
@@ -26,8 +26,8 @@
 
 class fleet_state {
 public:
-    // `lapsedLife`: see backend_directory.
-    fleet_state(process_context&, decision_log&, const fleet_decoder&, milliseconds lapsedLife);
+    // `lapsedRetention`: see backend_directory.
+    fleet_state(process_context&, decision_log&, const fleet_decoder&, milliseconds lapsedRetention);
 
     // From the store itself. `askedAt`: when the reading was sent. False if the listing is
     // older than what is held.
@@ -36,7 +36,7 @@
     void take(const published_update&, store_position from, instant askedAt);
     void take(const peer_state&, const std::string& peer);
     // A peer that holds `told` has proved it at that moment.
-    void notePeerProof(const state_summary& told, instant provenAt);
+    void notePeerProof(const state_summary& told, instant freshAsOf);
     // A peer has known since `restoredAt` of the restoration that began an epoch.
     void notePeerRestored(store_epoch, instant restoredAt);
     // The store did not answer this process, or answers again.
--- a/Source/gateway/gateway_process.cpp
+++ b/Source/gateway/gateway_process.cpp
@@ -74,7 +74,7 @@
     , m_settings(std::move(settings))
     , m_adapter(std::move(adapter))
     , m_state(context, log, m_adapter.decoder, milliseconds(0))
-    , m_loads(loadReportLife)
+    , m_loads(loadReportLifetime)
     , m_groups(groupUpdateLifetime)
     , m_dispatcher(context, log, m_adapter.codec, m_state, m_loads, m_groups, m_history, m_backpressure, m_settings.retries)
     , m_front(context, log, m_adapter.codec, m_state, m_dispatcher, freshness_rule(m_settings.strictRevocation, m_settings.revocationBound, readingMargin))
@@ -97,7 +97,7 @@
     process->m_state.onRestart([raw = process.get()](const listed_backend& backend) { raw->m_dispatcher.noteRestart(backend); });
     process->m_backpressure.limits.onGrantQuestions([raw = process.get()] { raw->m_peers->askForGrants(); });
     process->m_dispatcher.onCrash([raw = process.get()] { raw->m_peers->tellCrashes(); });
-    process->m_history.setIsolatedAttemptFilter([raw = process.get()](request_fingerprint request) { return raw->m_peers->peers().isPickedEntry(toString(request)); });
+    process->m_history.setIsolatedAttemptFilter([raw = process.get()](request_fingerprint request) { return raw->m_peers->peers().isResponsibleEntry(toString(request)); });
     process->m_follower.setWanted([raw = process.get()] { return raw->wantsToRead(); });
     process->m_follower.setReadersBeside([raw = process.get()] { return !isReader(raw->m_peers->peers(), {}); });
     process->m_follower.onNews([raw = process.get()] { raw->m_peers->announceState(); });
@@ -207,7 +207,7 @@
         noteReadiness();
         const peer_table& peers = m_peers->peers();
         m_dispatcher.settle();
-        m_dispatcher.setSharingProcesses(peers.count(peer_role::entry) + 1, peers.mostEntries());
+        m_dispatcher.setSharingProcesses(peers.count(peer_role::entry) + 1, peers.maxLiveEntries());
         if (tick % ticksPerReload == 0)
             reload();
     }
--- a/Source/gateway/gateway_process.h
+++ b/Source/gateway/gateway_process.h
@@ -58,7 +58,7 @@
     gateway_settings m_settings;
     platform_adapter m_adapter;
     fleet_state m_state;
-    load_board m_loads;
+    load_table m_loads;
     group_directory m_groups;
     crash_history m_history;
     server_backpressure m_backpressure;
--- a/Source/gateway/gateway_server.cpp
+++ b/Source/gateway/gateway_server.cpp
@@ -65,7 +65,7 @@
 awaitable<void> gateway_server::awaitProof(http_exchange& exchange, const gateway_request& said)
 {
     // Nearly always: without a second look for the route.
-    if (m_freshness.mayUseKeys(m_state.published().provenAt(), m_context.now()))
+    if (m_freshness.mayUseKeys(m_state.published().freshAsOf(), m_context.now()))
         co_return;
     const auto configuration = m_state.configuration();
     const route_spec* route = configuration ? configuration->findRoute(said.host, said.path) : nullptr;
@@ -77,8 +77,8 @@
     question.run = question.timeLeft / 2;
     question.patience = callerPatience(route->latencyTarget, route->gapTarget);
     question.waited = std::chrono::duration_cast<milliseconds>(m_context.now() - exchange.receivedAt());
-    question.closedFor = m_freshness.refusedFor(m_state.published().provenAt(), m_context.now());
-    std::function<bool()> missing = [this] { return !m_freshness.mayUseKeys(m_state.published().provenAt(), m_context.now()); };
+    question.closedFor = m_freshness.refusedFor(m_state.published().freshAsOf(), m_context.now());
+    std::function<bool()> missing = [this] { return !m_freshness.mayUseKeys(m_state.published().freshAsOf(), m_context.now()); };
     co_await holdCaller(m_context, exchange, std::move(missing), m_context.now() + decideGroupWait(question).wait, proofPoll);
 }
 
@@ -112,7 +112,7 @@
     admitted.priority = route.priority;
     if (!configuration.usesKeys() || route.isPublic)
         return boost::outcome_v2::success();
-    if (!m_freshness.mayUseKeys(m_state.published().provenAt(), m_context.now()))
+    if (!m_freshness.mayUseKeys(m_state.published().freshAsOf(), m_context.now()))
         return notRun(failure_reason::not_ready, "it is not known whether the key still holds", longestRetryPause(said.timeLeft.value_or(route.timeout)));
     const workspace_spec* workspace = configuration.findWorkspace(said.key);
     if (!workspace)
--- a/Source/gateway/group_leader.h
+++ b/Source/gateway/group_leader.h
@@ -5,7 +5,7 @@
 #include "gateway/group_caller.h"
 #include "policy/group_monitor.h"
 #include "policy/group_roster.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 #include "policy/map_switch.h"
 #include "policy/pass_model.h"
 
--- a/Source/gateway/limit_exchange.cpp
+++ b/Source/gateway/limit_exchange.cpp
@@ -72,7 +72,7 @@
     const instant now = m_context.now();
     std::map<std::string, gateway::peer_datagram> byArbiter;
     for (const auto& question : m_limits.takeQuestions()) {
-        const std::string arbiter = m_peers.pickedEntry(arbiterKey(question.server));
+        const std::string arbiter = m_peers.responsibleEntry(arbiterKey(question.server));
         if (arbiter == m_peers.self().host) {
             m_limits.recordGranted(answerTo(question, arbiter), now);
             continue;
@@ -137,7 +137,7 @@
 
 bool limit_exchange::isArbiter(server_hash server) const
 {
-    return m_context.now() - m_context.startedAt() >= joinTime && m_peers.isPickedEntry(arbiterKey(server));
+    return m_context.now() - m_context.startedAt() >= joinTime && m_peers.isResponsibleEntry(arbiterKey(server));
 }
 
 } // namespace rampgap
--- a/Source/gateway/peer_exchange.cpp
+++ b/Source/gateway/peer_exchange.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-result<std::unique_ptr<peer_exchange>> peer_exchange::open(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_directory& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings)
+result<std::unique_ptr<peer_exchange>> peer_exchange::open(process_context& context, decision_log& log, fleet_state& state, load_table& loads, group_directory& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings)
 {
     boost::system::error_code error;
     udp::socket socket(context.io());
@@ -58,7 +58,7 @@
     return std::unique_ptr<peer_exchange>(new peer_exchange(context, log, state, loads, groups, history, limits, std::move(peers), settings, std::move(socket)));
 }
 
-peer_exchange::peer_exchange(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_directory& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings, udp::socket socket)
+peer_exchange::peer_exchange(process_context& context, decision_log& log, fleet_state& state, load_table& loads, group_directory& groups, crash_history& history, server_limits& limits, peer_table peers, peer_exchange_settings settings, udp::socket socket)
     : m_context(context)
     , m_log(log)
     , m_state(state)
@@ -191,16 +191,16 @@
     peer_info sender = fromWire(datagram.sender());
     sender.host = host;
     if (datagram.leaving()) {
-        m_peers.noteLeaving(host);
+        m_peers.recordLeaving(host);
         m_loads.forgetPeer(host);
         m_log.line("peer_leaving").add("peer", host);
         return;
     }
     // Agents are not told anything: nobody has to know which there are.
-    if (sender.role == peer_role::entry && m_peers.noteHeard(sender, now))
+    if (sender.role == peer_role::entry && m_peers.recordContact(sender, now))
         m_log.line("peer_joined").add("peer", host).add("zone", sender.zone).add("incarnation", sender.incarnation);
     for (const auto& known : datagram.known())
-        m_peers.noteTold(fromWire(known.process()), milliseconds(known.age_ms()), now);
+        m_peers.mergeReport(fromWire(known.process()), milliseconds(known.age_ms()), now);
     const bool isEntry = m_peers.self().role == peer_role::entry;
     if (takeGroups(datagram) && isEntry)
         spreadGroups();
@@ -209,7 +209,7 @@
     if (datagram.pass_on() && isEntry)
         passOn(datagram);
     if (datagram.has_report())
-        m_loads.notePeer(host, workOf(datagram), now);
+        m_loads.mergePeerState(host, workOf(datagram), now);
     takeRanks(datagram);
     if (sender.role == peer_role::entry)
         noteSummary(sender, summaryOf(datagram));
@@ -239,7 +239,7 @@
         m_groups.recordSlowdown(report.group, report.slowdown, now);
     for (const auto& [hash, load] : report.loads)
         m_groups.recordMember(hash, report.group);
-    m_loads.noteRanks(report.loads, now);
+    m_loads.mergeRankLoads(report.loads, now);
 }
 
 void peer_exchange::noteSummary(const peer_info& sender, const state_summary& told)
@@ -266,8 +266,8 @@
     const auto asked = m_questions.find(datagram.answer().nonce());
     if (asked == m_questions.end())
         return;
-    const instant provenAt = asked->second - milliseconds(datagram.answer().proof_age_ms() + 1);
-    m_state.notePeerProof(summaryOf(datagram.answer()), provenAt);
+    const instant freshAsOf = asked->second - milliseconds(datagram.answer().proof_age_ms() + 1);
+    m_state.notePeerProof(summaryOf(datagram.answer()), freshAsOf);
 }
 
 // Until something is known every moment counts: callers wait.
@@ -309,11 +309,11 @@
         const std::size_t fanout = tellsAll ? gossipFanout : entriesToldByAgent;
         // Agents learn in turn from all entry VMs who else there is.
         datagram.set_wants_known(withKnown && !tellsAll);
-        const auto told = m_peers.sampleNear(peer_role::entry, fanout, m_context.random());
+        const auto told = m_peers.samplePreferringOwnZone(peer_role::entry, fanout, m_context.random());
         for (const auto& peer : told)
             send(peer.host, datagram);
         if (withKnown)
-            askForKnown(m_peers.seedsToAsk());
+            askForKnown(m_peers.seedsToContact());
     }
 }
 
--- a/Source/gateway/peer_exchange.h
+++ b/Source/gateway/peer_exchange.h
@@ -6,7 +6,7 @@
 #include "gateway/limit_exchange.h"
 #include "gateway/snapshot_exchange.h"
 #include "policy/group_directory.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 #include "policy/peer_table.h"
 
 #include <boost/asio/ip/udp.hpp>
@@ -26,7 +26,7 @@
 
 class peer_exchange : private datagram_sender {
 public:
-    static result<std::unique_ptr<peer_exchange>> open(process_context&, decision_log&, fleet_state&, load_board&, group_directory&, crash_history&, server_limits&, peer_table, peer_exchange_settings);
+    static result<std::unique_ptr<peer_exchange>> open(process_context&, decision_log&, fleet_state&, load_table&, group_directory&, crash_history&, server_limits&, peer_table, peer_exchange_settings);
     ~peer_exchange() override;
 
     void start();
@@ -47,10 +47,10 @@
     void setSeeds(std::vector<std::string> hosts) { m_peers.setSeeds(std::move(hosts)); }
     const snapshot_exchange& snapshots() const { return m_snapshots; }
     // True if each other seed has said what it holds.
-    bool heardAllSeeds() const { return m_peers.seedsToAsk().empty(); }
+    bool heardAllSeeds() const { return m_peers.seedsToContact().empty(); }
 
 private:
-    peer_exchange(process_context&, decision_log&, fleet_state&, load_board&, group_directory&, crash_history&, server_limits&, peer_table, peer_exchange_settings, boost::asio::ip::udp::socket);
+    peer_exchange(process_context&, decision_log&, fleet_state&, load_table&, group_directory&, crash_history&, server_limits&, peer_table, peer_exchange_settings, boost::asio::ip::udp::socket);
 
     awaitable<void> receiveLoop();
     // Asks the seeds until this process holds something.
@@ -78,7 +78,7 @@
     process_context& m_context;
     decision_log& m_log;
     fleet_state& m_state;
-    load_board& m_loads;
+    load_table& m_loads;
     group_directory& m_groups;
     crash_history& m_history;
     peer_table m_peers;
--- a/Source/gateway/peer_wire.h
+++ b/Source/gateway/peer_wire.h
@@ -3,7 +3,7 @@
 
 #include "gateway.pb.h"
 #include "policy/group_directory.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 #include "policy/peer_table.h"
 #include "policy/published_state.h"
 
--- a/Source/gateway/place_giver.cpp
+++ b/Source/gateway/place_giver.cpp
@@ -23,7 +23,7 @@
     gate.reserve(lastChancePriority, lastChanceNth);
 }
 
-place_giver::place_giver(process_context& context, fleet_state& state, load_board& loads, group_directory& groups, const server_backpressure& backpressure)
+place_giver::place_giver(process_context& context, fleet_state& state, load_table& loads, group_directory& groups, const server_backpressure& backpressure)
     : m_context(context)
     , m_state(state)
     , m_loads(loads)
@@ -68,10 +68,10 @@
 {
     const instant now = m_context.now();
     const milliseconds gap = passTimeLimit(request.route.gapTarget);
-    const pool_question question { request.service, request.costs, gap, own.run.mean(), now };
+    const pool_load_input question { request.service, request.costs, gap, own.run.mean(), now };
     const pool_load load = poolLoad(question, m_state.backends(), m_loads, m_groups, m_backpressure);
     own.busyFraction = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
-    own.gate.setSlots(admissionShare({ load.toRun, load.requests, own.gate.queue().running(), m_entries, m_groups.openFor(request.service, now) }));
+    own.gate.setSlots(admissionShare({ load.targetRunning, load.requests, own.gate.queue().running(), m_entries, m_groups.openFor(request.service, now) }));
 }
 
 awaitable<result<admission_place>> place_giver::enter(admission_gate& gate, admission_request asked, http_exchange& exchange)
@@ -92,7 +92,7 @@
     deskOf(service).run.observe(taken);
 }
 
-milliseconds place_giver::usualRun(const std::string& service)
+milliseconds place_giver::typicalRunTime(const std::string& service)
 {
     return deskOf(service).run.mean();
 }
--- a/Source/gateway/place_giver.h
+++ b/Source/gateway/place_giver.h
@@ -6,7 +6,7 @@
 #include "gateway/fleet_state.h"
 #include "policy/delay_estimate.h"
 #include "policy/group_directory.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 #include "policy/server_backpressure.h"
 
 #include <map>
@@ -15,7 +15,7 @@
 
 class place_giver {
 public:
-    place_giver(process_context&, fleet_state&, load_board&, group_directory&, const server_backpressure&);
+    place_giver(process_context&, fleet_state&, load_table&, group_directory&, const server_backpressure&);
 
     // Waits for a place, as long as that serves the caller. `begun`: a stream that was cut off
     // and is to go on. `again`: it has been at a server, so that its caller may have no other
@@ -31,7 +31,7 @@
     milliseconds usualFirstEvent(const std::string& service) { return deskOf(service).firstEvent.value(); }
     // From a place to the end of the answer, as lately observed: the mean, since answers differ
     // in length by a factor of ten, and whoever is refused for fear of a long one gets none.
-    milliseconds usualRun(const std::string& service);
+    milliseconds typicalRunTime(const std::string& service);
     void noteEnd(const std::string& service, milliseconds taken);
 
 private:
@@ -53,7 +53,7 @@
 
     process_context& m_context;
     fleet_state& m_state;
-    load_board& m_loads;
+    load_table& m_loads;
     group_directory& m_groups;
     const server_backpressure& m_backpressure;
     std::map<std::string, desk> m_desks;
--- a/Source/gateway/snapshot_exchange.cpp
+++ b/Source/gateway/snapshot_exchange.cpp
@@ -48,7 +48,7 @@
         for (const auto& retained : wire.retained())
             told.retained.push_back({ itemOf(retained.item()), retained.removed() });
         if (wire.proven())
-            told.provenAt = askedAt - milliseconds(wire.proof_age_ms() + 1);
+            told.freshAsOf = askedAt - milliseconds(wire.proof_age_ms() + 1);
         told.doubt = milliseconds(wire.list_doubt_ms());
         told.listSettled = wire.list_settled();
         if (wire.has_restored_ms_ago())
@@ -70,12 +70,12 @@
 void snapshot_exchange::noteTold(const std::string& host, bool sameZone, const state_summary& told)
 {
     m_anyTold = m_anyTold || told.position != store_position {};
-    fetchFrom(m_choice.noteTold(host, sameZone, told, m_state.summary(), m_context.now()));
+    fetchFrom(m_choice.recordPeerSummary(host, sameZone, told, m_state.summary(), m_context.now()));
 }
 
 void snapshot_exchange::fetchDue()
 {
-    fetchFrom(m_choice.due(m_state.published().position(), m_context.now()));
+    fetchFrom(m_choice.overdueFetch(m_state.published().position(), m_context.now()));
 }
 
 void snapshot_exchange::fetchFrom(const std::optional<std::string>& host)
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-upstream_dispatcher::upstream_dispatcher(process_context& context, decision_log& log, const request_codec& codec, fleet_state& state, load_board& loads, group_directory& groups, crash_history& history, server_backpressure& backpressure, retry_bounds bounds)
+upstream_dispatcher::upstream_dispatcher(process_context& context, decision_log& log, const request_codec& codec, fleet_state& state, load_table& loads, group_directory& groups, crash_history& history, server_backpressure& backpressure, retry_bounds bounds)
     : m_context(context)
     , m_log(log)
     , m_codec(codec)
@@ -123,7 +123,7 @@
         last = co_await tryOn(exchange, request, state, backend);
         if (!last->failed)
             co_return std::nullopt;
-        if (last->result == try_result::silent || last->result == try_result::unreachable)
+        if (last->result == attempt_result::silent || last->result == attempt_result::unreachable)
             state.tried.silent.push_back(id);
         // Once a try may have run, so may the request: a later refusal cannot take it back.
         state.worst = std::max(state.worst, last->failed->ran);
@@ -173,7 +173,7 @@
     question.timeLeft = request.timeLeft(m_context.now());
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.waited = request.waited(m_context.now());
-    question.run = m_places.usualRun(request.service);
+    question.run = m_places.typicalRunTime(request.service);
     question.closedFor = m_groups.closedFor(request.service, m_context.now());
     group_wait_decision decision = decideGroupWait(question);
     // The caller of a begun stream has been waiting since its last event.
@@ -186,10 +186,10 @@
     co_return failure { state.worst, failure_reason::no_backend, "no expert group of the service has been open for " + std::to_string(m_groups.closedFor(request.service, m_context.now()).count()) + " ms", decision.retryAfter };
 }
 
-void upstream_dispatcher::setSharingProcesses(std::size_t entries, std::size_t mostEntries)
+void upstream_dispatcher::setSharingProcesses(std::size_t entries, std::size_t maxLiveEntries)
 {
     m_places.setEntries(entries);
-    m_budget.setSharingProcesses(mostEntries);
+    m_budget.setSharingProcesses(maxLiveEntries);
 }
 
 void upstream_dispatcher::noteRestart(const listed_backend& backend)
@@ -209,7 +209,7 @@
 
 bool upstream_dispatcher::takeRetry(const admitted_request& request, const try_outcome& last)
 {
-    if (last.result == try_result::unreachable)
+    if (last.result == attempt_result::unreachable)
         return true;
     if (!m_budget.tryConsume(request.service, m_context.now())) {
         m_log.requestLine("retry_denied").add("request", request.said.id).add("reason", "the shared retry budget is used up").add("service", request.service);
@@ -228,7 +228,7 @@
     if (notice.backoff)
         return;
     const bool justStarted = m_context.now() - m_context.startedAt() < firstNews;
-    if (request.costs && (justStarted || m_loads.counted(backend.id)) && m_loads.total(backend.id, m_context.now()).requests <= backend.capacity)
+    if (request.costs && (justStarted || m_loads.isKnownRank(backend.id)) && m_loads.total(backend.id, m_context.now()).requests <= backend.capacity)
         m_groups.recordRefusal(request.service, backendHash(backend.id), m_context.now());
 }
 
@@ -264,7 +264,7 @@
     std::int64_t unread = request.said.promptTokens;
     const std::uint64_t eventsBefore = state.relay.events;
     const bool isTrial = m_history.beginIsolatedAttempt(state.fingerprint, sentAt);
-    m_loads.noteSent(backend.id, unread, sentAt);
+    m_loads.recordSent(backend.id, unread, sentAt);
 
     const instant headDeadline = headDeadlineOf(request, state, sentAt);
     auto head = co_await call.start(backend.address, m_codec.makeUpstream(exchange.request(), request.said, facts), headDeadline);
@@ -278,21 +278,21 @@
         if (call.refused())
             m_crashes.noteRefused(backend);
         const bool unreachable = head.error().ran == verdict::not_run;
-        outcome.result = unreachable ? try_result::unreachable : head.error().reason == failure_reason::deadline ? try_result::silent
-                                                                                                                 : try_result::failed;
+        outcome.result = unreachable ? attempt_result::unreachable : head.error().reason == failure_reason::deadline ? attempt_result::silent
+                                                                                                                     : attempt_result::failed;
         state.runs += unreachable ? 0 : 1;
     }
-    m_loads.noteEnded(backend.id, unread);
+    m_loads.recordEnded(backend.id, unread);
     const bool isSent = !outcome.failed || outcome.failed->ran != verdict::not_run;
     if (underWay.takenBack() && outcome.failed)
-        outcome = { mayHaveRun(failure_reason::crashes_servers, "a server crashed under a copy of this request"), try_result::failed };
-    if (outcome.result == try_result::answered && !exchange.callerGone())
+        outcome = { mayHaveRun(failure_reason::crashes_servers, "a server crashed under a copy of this request"), attempt_result::failed };
+    if (outcome.result == attempt_result::answered && !exchange.callerGone())
         m_crashes.recordServed(state.fingerprint);
-    if (request.costs && outcome.result == try_result::answered && !exchange.callerGone())
+    if (request.costs && outcome.result == attempt_result::answered && !exchange.callerGone())
         m_places.noteEnd(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
     if (!exchange.callerGone() && !underWay.ended() && !underWay.takenBack()) {
-        m_state.backends().noteResult(backend.id, outcome.result, m_context.now());
-        m_groups.recordReachability(request.service, backendHash(backend.id), outcome.result != try_result::unreachable, m_context.now());
+        m_state.backends().recordResult(backend.id, outcome.result, m_context.now());
+        m_groups.recordReachability(request.service, backendHash(backend.id), outcome.result != attempt_result::unreachable, m_context.now());
     }
     const duration silence = m_context.now() - std::max(sentAt, state.relay.newestBytesAt);
     const lost_call lost { request.said.id, state.fingerprint, state.relay.events - eventsBefore, sentAt, m_context.now() };
@@ -316,12 +316,12 @@
         const bool replaced = reply.kind == reply_kind::wrong_server;
         if (!replaced)
             noteRefusal(request, backend, state.notice);
-        co_return try_outcome { notRun(failure_reason::queue_full, reply.reason, fullRetryAfter), replaced ? try_result::replaced : try_result::refused };
+        co_return try_outcome { notRun(failure_reason::queue_full, reply.reason, fullRetryAfter), replaced ? attempt_result::replaced : attempt_result::refused };
     }
     ++state.runs;
     if (reply.kind == reply_kind::unreadable) {
         call.cancel();
-        co_return try_outcome { mayHaveRun(failure_reason::backend_error, reply.reason), try_result::failed };
+        co_return try_outcome { mayHaveRun(failure_reason::backend_error, reply.reason), attempt_result::failed };
     }
     call.expireAt(request.deadline);
     const bool streams = isEventStream(head);
@@ -337,29 +337,29 @@
         m_crashes.recordAnswered(backend, sentAt);
         m_context.counters().observe(latency::first_byte, m_context.now() - request.receivedAt);
         m_places.noteFirstEvent(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
-        m_loads.noteBegun(backend.id, unread);
+        m_loads.recordFirstByte(backend.id, unread);
         unread = 0;
     };
     const bool serverFailed = head.result_int() >= 500;
     if (state.relay.begun && serverFailed) {
         call.cancel();
-        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine that should go on answered " + std::to_string(head.result_int())), try_result::failed };
+        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine that should go on answered " + std::to_string(head.result_int())), attempt_result::failed };
     }
     // An engine's failure of a repeatable request may be mended by another engine.
     const bool mend = serverFailed && request.route.repeatable() && state.runs < request.route.maxAttempts && request.timeLeft(m_context.now()) > request.route.latencyTarget;
     if (mend) {
         co_await drop(call);
-        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine answered " + std::to_string(head.result_int())), try_result::failed };
+        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine answered " + std::to_string(head.result_int())), attempt_result::failed };
     }
     auto relayed = co_await relayAnswer(call, std::move(head), exchange, state.relay, options);
     if (relayed.end == relay_end::cut)
-        co_return try_outcome { relayed.failed, relayed.failed->reason == failure_reason::deadline ? try_result::silent : try_result::failed };
-    co_return try_outcome { std::nullopt, serverFailed ? try_result::failed : try_result::answered };
+        co_return try_outcome { relayed.failed, relayed.failed->reason == failure_reason::deadline ? attempt_result::silent : attempt_result::failed };
+    co_return try_outcome { std::nullopt, serverFailed ? attempt_result::failed : attempt_result::answered };
 }
 
 bool upstream_dispatcher::endedByServer(const try_outcome& outcome)
 {
-    if (outcome.result == try_result::silent)
+    if (outcome.result == attempt_result::silent)
         return true;
     return outcome.failed && outcome.failed->reason == failure_reason::connection_lost && outcome.failed->ran != verdict::not_run;
 }
@@ -384,7 +384,7 @@
 // crash of the first server is known, and would close that as well.
 bool upstream_dispatcher::mustAwaitLook(const admitted_request& request, const try_outcome& last)
 {
-    return closesGroup(request) && last.result != try_result::silent && endedByServer(last);
+    return closesGroup(request) && last.result != attempt_result::silent && endedByServer(last);
 }
 
 void upstream_dispatcher::logTry(const admitted_request& request, const progress& state, const listed_backend& backend, const try_outcome& outcome, instant sentAt)
--- a/Source/gateway/upstream_dispatcher.h
+++ b/Source/gateway/upstream_dispatcher.h
@@ -8,18 +8,18 @@
 #include "gateway/place_giver.h"
 #include "gateway/upstream_picker.h"
 #include "policy/group_directory.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 
 namespace rampgap {
 
 class upstream_dispatcher {
 public:
-    upstream_dispatcher(process_context&, decision_log&, const request_codec&, fleet_state&, load_board&, group_directory&, crash_history&, server_backpressure&, retry_bounds);
+    upstream_dispatcher(process_context&, decision_log&, const request_codec&, fleet_state&, load_table&, group_directory&, crash_history&, server_backpressure&, retry_bounds);
 
     // Answers the exchange, whatever happens.
     awaitable<void> dispatch(http_exchange&, const admitted_request&);
-    // `entries`: entry VMs at work; `mostEntries`: those that may share the retry budget.
-    void setSharingProcesses(std::size_t entries, std::size_t mostEntries);
+    // `entries`: entry VMs at work; `maxLiveEntries`: those that may share the retry budget.
+    void setSharingProcesses(std::size_t entries, std::size_t maxLiveEntries);
 
     // The server was started again under its id: what it had taken is lost.
     void noteRestart(const listed_backend&);
@@ -44,7 +44,7 @@
     // How one try ended; without a failure the caller has its answer or is gone.
     struct try_outcome {
         std::optional<failure> failed;
-        try_result result = try_result::answered;
+        attempt_result result = attempt_result::answered;
     };
 
     // No group of its service is open, or a process that has just started has heard of none yet.
@@ -79,7 +79,7 @@
     decision_log& m_log;
     const request_codec& m_codec;
     fleet_state& m_state;
-    load_board& m_loads;
+    load_table& m_loads;
     group_directory& m_groups;
     crash_history& m_history;
     server_backpressure& m_backpressure;
--- a/Source/gateway/upstream_picker.cpp
+++ b/Source/gateway/upstream_picker.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-upstream_picker::upstream_picker(process_context& context, decision_log& log, fleet_state& state, load_board& loads, group_directory& groups, server_backpressure& backpressure)
+upstream_picker::upstream_picker(process_context& context, decision_log& log, fleet_state& state, load_table& loads, group_directory& groups, server_backpressure& backpressure)
     : m_context(context)
     , m_log(log)
     , m_state(state)
@@ -30,7 +30,7 @@
 std::string upstream_picker::choose(const admitted_request& request, const tried_servers& tried) const
 {
     const instant now = m_context.now();
-    const upstream_question question { request.service, request.costs, request.said.promptTokens, tried.all, tried.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
+    const upstream_input question { request.service, request.costs, request.said.promptTokens, tried.all, tried.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
     return m_choice.choose(question, m_state.backends(), m_loads, m_groups, m_backpressure, m_context.random());
 }
 
@@ -104,7 +104,7 @@
         return;
     const instant now = m_context.now();
     const server_hash server = backendHash(backend.id);
-    if (notice.leaving && m_state.backends().noteLeaving(backend.id, now))
+    if (notice.leaving && m_state.backends().recordLeaving(backend.id, now))
         m_log.line("backend_leaving").add("backend", backend.id).add("source", "answer");
     if (notice.backoff)
         m_backpressure.backoffs.recordBackoff(server, *notice.backoff, now);
--- a/Source/gateway/upstream_picker.h
+++ b/Source/gateway/upstream_picker.h
@@ -6,7 +6,7 @@
 #include "gateway/admitted_request.h"
 #include "gateway/fleet_state.h"
 #include "policy/group_directory.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 #include "policy/server_backpressure.h"
 #include "policy/upstream_choice.h"
 
@@ -21,7 +21,7 @@
 
 class upstream_picker {
 public:
-    upstream_picker(process_context&, decision_log&, fleet_state&, load_board&, group_directory&, server_backpressure&);
+    upstream_picker(process_context&, decision_log&, fleet_state&, load_table&, group_directory&, server_backpressure&);
 
     // The id of the server for the next try, with a grant where it has a limit; empty if there is
     // none now. May wait a moment for a grant.
@@ -42,7 +42,7 @@
     process_context& m_context;
     decision_log& m_log;
     fleet_state& m_state;
-    load_board& m_loads;
+    load_table& m_loads;
     group_directory& m_groups;
     server_backpressure& m_backpressure;
     upstream_choice m_choice;
--- a/Source/harness/test_fleet.cpp
+++ b/Source/harness/test_fleet.cpp
@@ -161,7 +161,7 @@
         throw std::runtime_error(toString(parsed.error()));
     const std::string base = m_published.link().revision == 0 ? "" : m_published.digest();
     const std::uint64_t revision = m_published.link().revision + 1;
-    m_published = parsed.value().linkedAs({ revision, revision - 1, base, planDigest(base, parsed.value().canonicalBody()) });
+    m_published = parsed.value().withLink({ revision, revision - 1, base, planDigest(base, parsed.value().canonicalBody()) });
     put(m_platform->address(), "/v1/declarations/" + std::to_string(revision), m_published.canonicalText());
     return revision;
 }
--- a/Source/model/entry_model.cpp
+++ b/Source/model/entry_model.cpp
@@ -28,7 +28,7 @@
     , m_zone(zone)
     , m_listed(listed)
     , m_random(seed)
-    , m_loads(loadReportLife)
+    , m_loads(loadReportLifetime)
     , m_groups(groupUpdateLifetime)
     , m_queue(startLimits)
     , m_firstEvent(initialFirstEventDelay)
@@ -48,7 +48,7 @@
 {
     m_attempts.clear();
     m_waiting.clear();
-    m_loads = load_board(loadReportLife);
+    m_loads = load_table(loadReportLifetime);
     m_groups = group_directory(groupUpdateLifetime);
     m_queue = admission_queue(startLimits);
     m_queue.setShedding(false);
@@ -109,7 +109,7 @@
         return;
     if (held->sentAt != instant {}) {
         m_fleet.cancel(held->backend, held->sequence);
-        m_loads.noteEnded(held->backend, 0);
+        m_loads.recordEnded(held->backend, 0);
     }
     releasePlace(*held);
     m_attempts.erase(id);
@@ -152,7 +152,7 @@
     const milliseconds gap = passTimeLimit(m_scenario.gapTarget);
     const pool_load load = poolLoad({ service, m_scenario.costs, gap, m_run.mean(), m_events.now() }, m_backends, m_loads, m_groups, m_backpressure);
     m_busyPart = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
-    m_slots = admissionShare({ load.toRun, load.requests, m_queue.running(), m_scenario.entries, m_groups.openFor(service, m_events.now()) });
+    m_slots = admissionShare({ load.targetRunning, load.requests, m_queue.running(), m_scenario.entries, m_groups.openFor(service, m_events.now()) });
     m_queue.setLimits({ m_slots, startLimits.maxQueued });
 }
 
@@ -233,12 +233,12 @@
 {
     ++of.step;
     const instant now = m_events.now();
-    if (of.last && *of.last != try_result::unreachable) {
+    if (of.last && *of.last != attempt_result::unreachable) {
         if (!m_budget.tryConsume(service, now))
             return refuse(of, fullRetryAfter);
         ++m_secondTries;
     }
-    upstream_question question;
+    upstream_input question;
     question.service = service;
     question.costs = m_scenario.costs;
     question.promptTokens = static_cast<std::int64_t>(of.request.promptTokens);
@@ -256,9 +256,9 @@
     of.sequence = of.request.id * triesOfAttempt + of.tried.size();
     of.sentAt = now;
     of.newestAt = now;
-    m_loads.noteSent(of.backend, 0, now);
+    m_loads.recordSent(of.backend, 0, now);
     if (!m_fleet.reaches(m_zone, of.backend))
-        later(of, serverConnectTimeout, [this](attempt& held) { endTry(held, try_result::unreachable); });
+        later(of, serverConnectTimeout, [this](attempt& held) { endTry(held, attempt_result::unreachable); });
     else
         later(of, m_fleet.delayTo(m_zone, of.backend), [this](attempt& held) { arrive(held); });
 }
@@ -267,7 +267,7 @@
 {
     const sequence asked { of.sequence, of.request.promptTokens, of.request.events - of.delivered, false, false };
     if (!m_fleet.submit(of.backend, asked)) {
-        later(of, m_fleet.delayTo(m_zone, of.backend), [this](attempt& held) { endTry(held, try_result::refused); });
+        later(of, m_fleet.delayTo(m_zone, of.backend), [this](attempt& held) { endTry(held, attempt_result::refused); });
         return;
     }
     of.mayHaveRun = true;
@@ -292,7 +292,7 @@
         return;
     later(of, *limit, [this](attempt& held) {
         if (held.newestAt == held.sentAt)
-            endTry(held, try_result::silent);
+            endTry(held, attempt_result::silent);
     });
 }
 
@@ -304,7 +304,7 @@
     const milliseconds limit = streamSilenceLimit(elsewhere);
     const auto silence = m_events.now() - of.newestAt;
     if (silence >= limit)
-        return endTry(of, try_result::silent);
+        return endTry(of, attempt_result::silent);
     later(of, limit - silence, [this](attempt& held) { watchSilence(held); });
 }
 
@@ -321,9 +321,9 @@
     held = find(id);
     if (!held || !last)
         return;
-    m_loads.noteEnded(held->backend, 0);
+    m_loads.recordEnded(held->backend, 0);
     m_run.observe(std::chrono::duration_cast<milliseconds>(m_events.now() - held->sentAt));
-    m_backends.noteResult(held->backend, try_result::answered, m_events.now());
+    m_backends.recordResult(held->backend, attempt_result::answered, m_events.now());
     if (m_ways.groupReach)
         m_groups.recordReachability(service, backendHash(held->backend), true, m_events.now());
     held->sentAt = {};
@@ -334,7 +334,7 @@
 {
     attempt* held = find(id);
     if (held && held->sequence == of && m_fleet.reaches(m_zone, held->backend))
-        endTry(*held, try_result::failed);
+        endTry(*held, attempt_result::failed);
 }
 
 void entry_model::hear(const group_report& told)
@@ -343,21 +343,21 @@
     m_groups.recordSlowdown(told.key, told.slowdown, m_events.now());
     for (const auto& [hash, load] : told.loads)
         m_groups.recordMember(hash, told.key);
-    m_loads.noteRanks(told.loads, m_events.now());
+    m_loads.mergeRankLoads(told.loads, m_events.now());
 }
 
-void entry_model::endTry(attempt& of, try_result result)
+void entry_model::endTry(attempt& of, attempt_result result)
 {
     ++of.step;
     const instant now = m_events.now();
     m_fleet.cancel(of.backend, of.sequence);
-    m_loads.noteEnded(of.backend, 0);
-    m_backends.noteResult(of.backend, result, now);
+    m_loads.recordEnded(of.backend, 0);
+    m_backends.recordResult(of.backend, result, now);
     if (m_ways.groupReach)
-        m_groups.recordReachability(service, backendHash(of.backend), result != try_result::unreachable, now);
-    if (result == try_result::silent || result == try_result::unreachable)
+        m_groups.recordReachability(service, backendHash(of.backend), result != attempt_result::unreachable, now);
+    if (result == attempt_result::silent || result == attempt_result::unreachable)
         of.silent.push_back(of.backend);
-    if (result == try_result::refused && m_loads.counted(of.backend) && m_loads.total(of.backend, now).requests <= m_scenario.costs.capacity)
+    if (result == attempt_result::refused && m_loads.isKnownRank(of.backend) && m_loads.total(of.backend, now).requests <= m_scenario.costs.capacity)
         m_groups.recordRefusal(service, backendHash(of.backend), now);
     of.sentAt = {};
     of.last = result;
--- a/Source/model/entry_model.h
+++ b/Source/model/entry_model.h
@@ -76,7 +76,7 @@
         int runs = 0;
         int delivered = 0;
         bool mayHaveRun = false;
-        std::optional<try_result> last;
+        std::optional<attempt_result> last;
         std::optional<admission_id> place;
         std::vector<admission_stage> stages;
         std::string backend;
@@ -102,7 +102,7 @@
     void watchSilence(attempt&);
     // The route and the retry budget allow another try.
     bool mayGoElsewhere(const attempt&);
-    void endTry(attempt&, try_result);
+    void endTry(attempt&, attempt_result);
     void refuse(attempt&, milliseconds retryAfter);
     void finish(attempt&, attempt_end);
     void releasePlace(attempt&);
@@ -120,7 +120,7 @@
     std::vector<listed_backend> m_listed;
     std::mt19937_64 m_random;
     backend_directory m_backends;
-    load_board m_loads;
+    load_table m_loads;
     group_directory m_groups;
     admission_queue m_queue;
     int m_slots = 1;
--- a/Source/model/lockstep_group.h
+++ b/Source/model/lockstep_group.h
@@ -6,7 +6,7 @@
 #include "model/scenario.h"
 #include "policy/group_directory.h"
 #include "policy/group_monitor.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 
 #include <deque>
 #include <functional>
--- a/Source/policy/backend_directory.cpp
+++ b/Source/policy/backend_directory.cpp
@@ -97,7 +97,7 @@
     updateNewestAt(known->second.listed.address);
 }
 
-void backend_directory::keepNoLongerThan(instant until)
+void backend_directory::limitRetention(instant until)
 {
     if (m_lapsedRetention > milliseconds(0))
         return;
@@ -131,37 +131,37 @@
     std::erase_if(m_leaving, [now](const auto& known) { return now - known.second >= leavingRetention; });
 }
 
-bool backend_directory::noteLeaving(const std::string& id, instant now)
+bool backend_directory::recordLeaving(const std::string& id, instant now)
 {
     return m_leaving.insert_or_assign(id, now).second;
 }
 
-void backend_directory::noteResult(const std::string& id, try_result result, instant now)
+void backend_directory::recordResult(const std::string& id, attempt_result result, instant now)
 {
     const auto known = m_entries.find(id);
     if (known == m_entries.end())
         return;
     auto& health = known->second.health;
-    const bool failed = result != try_result::answered && result != try_result::refused;
+    const bool failed = result != attempt_result::answered && result != attempt_result::refused;
     health.failureShare += latestAttemptWeight * ((failed ? 1.0 : 0.0) - health.failureShare);
-    health.unreachableInRow = result == try_result::unreachable ? health.unreachableInRow + 1 : 0;
+    health.unreachableInRow = result == attempt_result::unreachable ? health.unreachableInRow + 1 : 0;
     switch (result) {
-    case try_result::answered:
+    case attempt_result::answered:
         break;
-    case try_result::refused:
+    case attempt_result::refused:
         health.avoidedUntil = std::max(health.avoidedUntil, now + refusedPause);
         break;
-    case try_result::unreachable:
+    case attempt_result::unreachable:
         health.avoidedUntil = std::max(health.avoidedUntil, now + unreachablePause(health.unreachableInRow));
         break;
-    case try_result::silent:
+    case attempt_result::silent:
         health.avoidedUntil = std::max(health.avoidedUntil, now + silentPause);
         break;
-    case try_result::failed:
+    case attempt_result::failed:
         if (health.failureShare > maxFailureShare)
             health.avoidedUntil = std::max(health.avoidedUntil, now + failingPause);
         break;
-    case try_result::replaced:
+    case attempt_result::replaced:
         known->second.replaced = true;
         break;
     }
--- a/Source/policy/backend_directory.h
+++ b/Source/policy/backend_directory.h
@@ -30,7 +30,7 @@
 };
 
 // Outcome of one attempt on a backend server, as far as it says something about that server.
-enum class try_result {
+enum class attempt_result {
     answered,
     // It reported that it had no capacity left.
     refused,
@@ -72,7 +72,7 @@
     // lapsed in an outage and be listed again.
     void unlist(const std::string& id, instant now, instant keepUntil);
     // Keeps missing entries no longer than until `until`; no effect if `lapsedRetention` is set.
-    void keepNoLongerThan(instant until);
+    void limitRetention(instant until);
     // Forgets a server at once, if it is known.
     void remove(const std::string& id);
     // Drops the missing entries whose retention has ended.
@@ -80,8 +80,8 @@
 
     // The server itself announced that it is leaving: it gets no more requests in this incarnation,
     // whatever the list says. True if this was not known yet.
-    bool noteLeaving(const std::string& id, instant now);
-    void noteResult(const std::string& id, try_result, instant now);
+    bool recordLeaving(const std::string& id, instant now);
+    void recordResult(const std::string& id, attempt_result, instant now);
 
     // True if it may get new requests: listed, not leaving, and not replaced by a newer entry at its address.
     bool acceptsWork(const std::string& id) const;
--- a/Source/policy/backend_table.cpp
+++ b/Source/policy/backend_table.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-void backend_table::noteListedLeaving(const std::vector<std::string>& names)
+void backend_table::recordListedLeaving(const std::vector<std::string>& names)
 {
     for (const auto& name : names) {
         const backend_id id = find(name);
@@ -82,7 +82,7 @@
     }
 }
 
-void backend_table::noteSent(backend_id id)
+void backend_table::recordSent(backend_id id)
 {
     ++m_views[id].ownInFlight;
 }
@@ -101,11 +101,11 @@
 
 void backend_table::recordServed(backend_id id)
 {
-    if (mayBeBack(id))
+    if (mayHaveReturned(id))
         m_views[id].state = backend_state::up;
 }
 
-void backend_table::noteConnectFailed(backend_id id, instant now)
+void backend_table::recordConnectFailure(backend_id id, instant now)
 {
     backend_view& view = m_views[id];
     if (view.state == backend_state::stopped || view.suspectUntil == instant::max())
@@ -117,7 +117,7 @@
     view.suspectUntil = now + firstSuspicion * (1 << doublings);
 }
 
-void backend_table::noteLeaving(backend_id id, instant now)
+void backend_table::recordLeaving(backend_id id, instant now)
 {
     backend_view& view = m_views[id];
     if (view.state == backend_state::stopped || view.suspectUntil == instant::max())
@@ -126,12 +126,12 @@
     view.suspectUntil = now + leavingDuration;
 }
 
-void backend_table::notePause(backend_id id, milliseconds pause, instant now)
+void backend_table::recordPause(backend_id id, milliseconds pause, instant now)
 {
     m_views[id].pausedUntil = now + pause;
 }
 
-void backend_table::noteEnded(backend_id id)
+void backend_table::recordEnded(backend_id id)
 {
     if (m_views[id].ownInFlight > 0)
         --m_views[id].ownInFlight;
@@ -147,7 +147,7 @@
     return view.state != backend_state::stopped && now >= view.suspectUntil;
 }
 
-bool backend_table::mayBeBack(backend_id id) const
+bool backend_table::mayHaveReturned(backend_id id) const
 {
     const backend_view& view = m_views[id];
     return view.state != backend_state::stopped && view.suspectUntil != instant::max();
--- a/Source/policy/backend_table.h
+++ b/Source/policy/backend_table.h
@@ -55,23 +55,23 @@
     // Adds, updates and retires backends; a name keeps its id.
     void apply(const declaration&, instant now);
     // Takes the VMs out of service that the platform's list reports as leaving.
-    void noteListedLeaving(const std::vector<std::string>& names);
+    void recordListedLeaving(const std::vector<std::string>& names);
 
-    void noteSent(backend_id);
+    void recordSent(backend_id);
     // An agent answered, with any verdict. `madeAt` is when it made its load report.
-    void noteAnswered(backend_id, const load_report&, instant madeAt);
+    void recordAnswered(backend_id, const load_report&, instant madeAt);
     // The backend accepted a request, so it is neither unreachable nor leaving.
-    void noteServed(backend_id);
-    void noteConnectFailed(backend_id, instant now);
-    void noteLeaving(backend_id, instant now);
+    void recordServed(backend_id);
+    void recordConnectFailure(backend_id, instant now);
+    void recordLeaving(backend_id, instant now);
     // Its engine accepts no requests for this long.
-    void notePause(backend_id, milliseconds, instant now);
-    void noteEnded(backend_id);
+    void recordPause(backend_id, milliseconds, instant now);
+    void recordEnded(backend_id);
 
     // True if new requests may be sent there: it is up, or its time as suspect or leaving is over.
     bool usable(backend_id, instant now) const;
     // True unless an operator or the platform's list has taken it out of service.
-    bool mayBeBack(backend_id) const;
+    bool mayHaveReturned(backend_id) const;
     // Since when every connection attempt has failed; `fallback` if the last one succeeded.
     instant failingSince(backend_id, instant fallback) const;
     const backend_view& view(backend_id id) const { return m_views[id]; }
--- a/Source/policy/change_plan.cpp
+++ b/Source/policy/change_plan.cpp
@@ -36,7 +36,7 @@
 change_plan change_plan::makeFirst(const declaration& intent)
 {
     change_plan plan;
-    plan.m_declared = intent.linkedAs({ 1, 0, "", planDigest("", intent.canonicalBody()) });
+    plan.m_declared = intent.withLink({ 1, 0, "", planDigest("", intent.canonicalBody()) });
     const ini_document body = bodyOf(intent);
     for (const auto& section : body.sections())
         plan.m_changes.push_back({ change_kind::add, section.name, "", "", "" });
@@ -48,7 +48,7 @@
     change_plan plan;
     const std::string base = inForce.digest();
     const std::uint64_t revision = std::max(highestSeen, inForce.link().revision) + 1;
-    plan.m_declared = intent.linkedAs({ revision, inForce.link().revision, base, planDigest(base, intent.canonicalBody()) });
+    plan.m_declared = intent.withLink({ revision, inForce.link().revision, base, planDigest(base, intent.canonicalBody()) });
     plan.compare(inForce);
     plan.assessOwners(inForce);
     plan.assessPools(inForce);
@@ -82,8 +82,8 @@
 void change_plan::assessOwners(const declaration& inForce)
 {
     for (const auto& service : m_declared.services()) {
-        const auto before = inForce.homesOf(service.name);
-        const auto after = m_declared.homesOf(service.name);
+        const auto before = inForce.ownersOf(service.name);
+        const auto after = m_declared.ownersOf(service.name);
         if (before == after || before.empty())
             continue;
         int moved = 0;
--- a/Source/policy/declaration.cpp
+++ b/Source/policy/declaration.cpp
@@ -229,7 +229,7 @@
     return names;
 }
 
-std::vector<std::string> declaration::homesOf(std::string_view service) const
+std::vector<std::string> declaration::ownersOf(std::string_view service) const
 {
     std::vector<std::string> names;
     for (const auto& backend : m_backends) {
@@ -295,7 +295,7 @@
     return changed;
 }
 
-declaration declaration::linkedAs(declaration_link link) const
+declaration declaration::withLink(declaration_link link) const
 {
     declaration linked = *this;
     linked.m_link = std::move(link);
--- a/Source/policy/declaration.h
+++ b/Source/policy/declaration.h
@@ -103,7 +103,7 @@
     // Names of the backends that serve `service` and are not stopped.
     std::vector<std::string> poolOf(std::string_view service) const;
     // Names of the agents among which rendezvous hashing picks the owner of a request id.
-    std::vector<std::string> homesOf(std::string_view service) const;
+    std::vector<std::string> ownersOf(std::string_view service) const;
 
     // The text without the [declaration] section, in canonical order and spacing.
     std::string canonicalBody() const;
@@ -114,7 +114,7 @@
     // The same declaration with one backend draining; empty if there is none of the name.
     std::optional<declaration> withDraining(std::string_view backend) const;
     // The same body at another position in the chain.
-    declaration linkedAs(declaration_link) const;
+    declaration withLink(declaration_link) const;
 
     bool operator==(const declaration&) const = default;
 
--- a/Source/policy/execution_guard.cpp
+++ b/Source/policy/execution_guard.cpp
@@ -32,51 +32,51 @@
     return m_ledger.claim(id, bodyDigest, now);
 }
 
-handover_answer execution_guard::answerHandover(const agent_standing& asker, bool takeBack, instant now)
+handover_answer execution_guard::answerHandover(const agent_status& asker, bool takeBack, instant now)
 {
-    m_ownership.notePeer(asker, now);
+    m_ownership.mergePeerState(asker, now);
     handover_answer answer;
     if (takeBack)
         answer.grantRevision = m_ownership.withdrawGrant(asker.name, now);
-    answer.vouches = m_ownership.vouches(now);
-    answer.sender = m_ownership.standing();
+    answer.vouches = m_ownership.remembersAllRuns(now);
+    answer.sender = m_ownership.status();
     answer.ids = m_ledger.liveIds(now);
     return answer;
 }
 
 bool execution_guard::acceptHandover(const handover_answer& answer, instant now)
 {
-    m_ownership.notePeer(answer.sender, now);
+    m_ownership.mergePeerState(answer.sender, now);
     if (!answer.vouches)
         return false;
     m_ledger.inherit(answer.ids, now);
-    m_ownership.noteHandover(answer.sender.name, answer.sender.revision);
+    m_ownership.recordHandover(answer.sender.name, answer.sender.revision);
     return true;
 }
 
 bool execution_guard::restoreMemory(const handover_answer& answer, instant now)
 {
-    m_ownership.notePeer(answer.sender, now);
+    m_ownership.mergePeerState(answer.sender, now);
     if (!answer.grantRevision)
         return false;
     m_ledger.inherit(answer.ids, now);
-    m_ownership.noteMemoryBack(*answer.grantRevision);
+    m_ownership.recordMemoryRestored(*answer.grantRevision);
     return true;
 }
 
 std::optional<id_deposit> execution_guard::handOff(instant now)
 {
-    const bool complete = m_ownership.mayGiveAway(now);
-    m_ownership.giveAway();
+    const bool complete = m_ownership.mayReleaseOwnership(now);
+    m_ownership.releaseOwnership();
     if (!complete)
         return std::nullopt;
-    return id_deposit { m_ownership.standing(), m_idLife / grantLifetimeDivisor, m_ledger.liveIds(now) };
+    return id_deposit { m_ownership.status(), m_idLife / grantLifetimeDivisor, m_ledger.liveIds(now) };
 }
 
 bool execution_guard::acceptDeposit(const id_deposit& deposit, instant now)
 {
-    m_ownership.notePeer(deposit.owner, now);
-    if (!m_ownership.vouches(now) || !m_ownership.acceptGrant(deposit.owner.name, deposit.owner.revision, now + deposit.grantLifetime))
+    m_ownership.mergePeerState(deposit.owner, now);
+    if (!m_ownership.remembersAllRuns(now) || !m_ownership.acceptGrant(deposit.owner.name, deposit.owner.revision, now + deposit.grantLifetime))
         return false;
     m_ledger.inherit(deposit.ids, now);
     return true;
--- a/Source/policy/execution_guard.h
+++ b/Source/policy/execution_guard.h
@@ -2,14 +2,14 @@
 // ledger of ids that have run, and exchanges both with other agents.
 #pragma once
 
-#include "policy/home_guard.h"
+#include "policy/ownership_guard.h"
 #include "policy/request_ledger.h"
 
 namespace rampgap {
 
 // An agent's answer to another agent's query for its standing and its ids.
 struct handover_answer {
-    agent_standing sender;
+    agent_status sender;
     // True if `ids` is complete for the sender's revision.
     bool vouches = false;
     // The revision of the grant that this answer ends, if there was one.
@@ -21,7 +21,7 @@
 
 // The ids that a leaving agent hands to its standby.
 struct id_deposit {
-    agent_standing owner;
+    agent_status owner;
     milliseconds grantLifetime { 0 };
     std::vector<std::uint64_t> ids;
 
@@ -37,7 +37,7 @@
     // Claims an id for one run on this agent. Empty: run the request. An answer: it has run, send that.
     result<std::optional<stored_answer>> claim(const request_id&, std::uint64_t bodyDigest, instant now);
 
-    handover_answer answerHandover(const agent_standing& asker, bool takeBack, instant now);
+    handover_answer answerHandover(const agent_status& asker, bool takeBack, instant now);
     // Merges the answer of another agent. True if its ids were complete.
     bool acceptHandover(const handover_answer&, instant now);
     // Merges the answer of the standby that held this agent's ids. True if it ended a grant, so that this agent
@@ -49,12 +49,12 @@
     // Accepts the ids of a leaving agent as its standby. False if this agent may not.
     bool acceptDeposit(const id_deposit&, instant now);
 
-    home_guard& ownership() { return m_ownership; }
-    const home_guard& ownership() const { return m_ownership; }
+    ownership_guard& ownership() { return m_ownership; }
+    const ownership_guard& ownership() const { return m_ownership; }
     request_ledger& ledger() { return m_ledger; }
 
 private:
-    home_guard m_ownership;
+    ownership_guard m_ownership;
     request_ledger m_ledger;
     milliseconds m_idLife { 0 };
 };
--- a/Source/policy/item_order.h
+++ b/Source/policy/item_order.h
@@ -28,7 +28,7 @@
     // Empty for an item that cannot be parsed or has no order: every ranked item outranks it.
     virtual std::optional<item_rank> rank(const published_item&) const = 0;
     // True if the item stays in force while the store lists nothing under its key.
-    virtual bool holdsUnlisted(const published_item&) const = 0;
+    virtual bool staysInForceUnlisted(const published_item&) const = 0;
 };
 
 } // namespace rampgap
--- a/Source/policy/load_board.cpp
+++ b/Source/policy/load_table.cpp
@@ -1,4 +1,4 @@
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 
 #include <algorithm>
 #include <xxhash.h>
@@ -23,12 +23,12 @@
     return XXH32(id.data(), id.size(), 0);
 }
 
-load_board::load_board(milliseconds reportLifetime)
+load_table::load_table(milliseconds reportLifetime)
     : m_reportLifetime(reportLifetime)
 {
 }
 
-void load_board::noteSent(const std::string& id, std::int64_t promptTokens, instant now)
+void load_table::recordSent(const std::string& id, std::int64_t promptTokens, instant now)
 {
     auto& sent = m_sent[id];
     while (!sent.empty() && now - sent.front() > countLag)
@@ -39,12 +39,12 @@
     load.unreadTokens += promptTokens;
 }
 
-void load_board::recordFirstByte(const std::string& id, std::int64_t promptTokens)
+void load_table::recordFirstByte(const std::string& id, std::int64_t promptTokens)
 {
     m_own[id].unreadTokens -= promptTokens;
 }
 
-void load_board::noteEnded(const std::string& id, std::int64_t unreadTokens)
+void load_table::recordEnded(const std::string& id, std::int64_t unreadTokens)
 {
     auto& load = m_own[id];
     --load.requests;
@@ -53,18 +53,18 @@
         m_own.erase(id);
 }
 
-void load_board::notePeer(const std::string& peer, load_report_by_hash loads, instant now)
+void load_table::mergePeerState(const std::string& peer, load_report_by_hash loads, instant now)
 {
     m_peers[peer] = { std::move(loads), now };
 }
 
-void load_board::noteRanks(const load_report_by_hash& counts, instant now)
+void load_table::mergeRankLoads(const load_report_by_hash& counts, instant now)
 {
     for (const auto& [hash, load] : counts)
         m_ranks[hash] = { load.requests, load.pace, now };
 }
 
-int load_board::sentRecently(const std::string& id, instant now) const
+int load_table::sentRecently(const std::string& id, instant now) const
 {
     const auto sent = m_sent.find(id);
     if (sent == m_sent.end())
@@ -72,18 +72,18 @@
     return static_cast<int>(std::count_if(sent->second.begin(), sent->second.end(), [now](instant at) { return now - at <= countLag; }));
 }
 
-void load_board::forgetPeer(const std::string& peer)
+void load_table::forgetPeer(const std::string& peer)
 {
     m_peers.erase(peer);
 }
 
-backend_load load_board::own(const std::string& id) const
+backend_load load_table::own(const std::string& id) const
 {
     const auto found = m_own.find(id);
     return found == m_own.end() ? backend_load {} : found->second;
 }
 
-backend_load load_board::total(const std::string& id, instant now) const
+backend_load load_table::total(const std::string& id, instant now) const
 {
     backend_load sum = own(id);
     const std::uint32_t hash = backendHash(id);
@@ -101,7 +101,7 @@
     return sum;
 }
 
-load_report_by_hash load_board::report() const
+load_report_by_hash load_table::report() const
 {
     load_report_by_hash loads;
     for (const auto& [id, load] : m_own)
--- a/Source/policy/load_board.h
+++ b/Source/policy/load_table.h
@@ -30,21 +30,21 @@
 std::uint32_t backendHash(const std::string& id);
 
 // Load reports arrive every 100 ms; the last one expires when three further ones are lost.
-inline constexpr milliseconds loadReportLife { 400 };
+inline constexpr milliseconds loadReportLifetime { 400 };
 
-class load_board {
+class load_table {
 public:
     // Reports older than `reportLifetime` are ignored.
-    explicit load_board(milliseconds reportLifetime);
+    explicit load_table(milliseconds reportLifetime);
 
-    void noteSent(const std::string& id, std::int64_t promptTokens, instant now);
+    void recordSent(const std::string& id, std::int64_t promptTokens, instant now);
     // The first byte of the answer arrived: the prompt has been processed.
     void recordFirstByte(const std::string& id, std::int64_t promptTokens);
-    void noteEnded(const std::string& id, std::int64_t unreadTokens);
-    void notePeer(const std::string& peer, load_report_by_hash, instant now);
+    void recordEnded(const std::string& id, std::int64_t unreadTokens);
+    void mergePeerState(const std::string& peer, load_report_by_hash, instant now);
     void forgetPeer(const std::string& peer);
     // Requests at each rank, as counted by the engines themselves.
-    void noteRanks(const load_report_by_hash&, instant now);
+    void mergeRankLoads(const load_report_by_hash&, instant now);
 
     // True if a leader has ever reported this server as a rank of its group.
     bool isKnownRank(const std::string& id) const { return m_ranks.contains(backendHash(id)); }
--- a/Source/policy/home_guard.cpp
+++ b/Source/policy/ownership_guard.cpp
@@ -1,4 +1,4 @@
-#include "policy/home_guard.h"
+#include "policy/ownership_guard.h"
 
 #include "policy/rendezvous.h"
 #include <algorithm>
@@ -23,19 +23,19 @@
 
 } // namespace
 
-std::vector<std::string> keepersOf(const std::string& owner, const std::vector<std::string>& owners)
+std::vector<std::string> standbysOf(const std::string& owner, const std::vector<std::string>& owners)
 {
     return rendezvousRank(owner, without(owners, owner), standbyCount);
 }
 
-home_guard::home_guard(std::string self, std::uint64_t incarnation, instant startedAt)
+ownership_guard::ownership_guard(std::string self, std::uint64_t incarnation, instant startedAt)
     : m_self(std::move(self))
     , m_incarnation(incarnation)
     , m_quarantineFrom(startedAt)
 {
 }
 
-void home_guard::apply(const declaration& current, instant now)
+void ownership_guard::apply(const declaration& current, instant now)
 {
     if (current.link().revision <= m_revision)
         return;
@@ -46,11 +46,11 @@
     // The owners of a skipped revision are unknown, so everything must be confirmed again.
     const bool skipped = known && current.link().baseRevision != m_revision;
 
-    std::vector<std::string> owners = current.homesOf(service);
+    std::vector<std::string> owners = current.ownersOf(service);
     if (skipped)
         restartConfirmation(now);
-    else if (known && m_declaration->homesOf(service) != owners)
-        addTransition(m_declaration->homesOf(service), current, now);
+    else if (known && m_declaration->ownersOf(service) != owners)
+        addTransition(m_declaration->ownersOf(service), current, now);
     dropStoppedOwners(current, now);
 
     m_owners = std::move(owners);
@@ -60,7 +60,7 @@
     updateConfirmation(now);
 }
 
-void home_guard::restartConfirmation(instant now)
+void ownership_guard::restartConfirmation(instant now)
 {
     m_quarantineFrom = now;
     m_memoryRestored = false;
@@ -68,7 +68,7 @@
     m_transitions.clear();
 }
 
-void home_guard::addTransition(const std::vector<std::string>& previousOwners, const declaration& current, instant now)
+void ownership_guard::addTransition(const std::vector<std::string>& previousOwners, const declaration& current, instant now)
 {
     transition change { previousOwners, {}, {}, now + m_idLife };
     for (const auto& name : without(previousOwners, m_self))
@@ -78,7 +78,7 @@
 }
 
 // An owner that is declared stopped, or no longer declared, cannot hand anything over.
-void home_guard::dropStoppedOwners(const declaration& current, instant now)
+void ownership_guard::dropStoppedOwners(const declaration& current, instant now)
 {
     for (auto& change : m_transitions) {
         const auto stopped = [&](const std::string& name) {
@@ -101,9 +101,9 @@
     });
 }
 
-void home_guard::notePeer(const agent_standing& peer, instant now)
+void ownership_guard::mergePeerState(const agent_status& peer, instant now)
 {
-    agent_standing& known = m_statuses[peer.name];
+    agent_status& known = m_statuses[peer.name];
     // A late answer of an earlier incarnation or revision is outdated.
     const bool older = peer.incarnation < known.incarnation || (peer.incarnation == known.incarnation && peer.revision < known.revision);
     if (!older)
@@ -111,7 +111,7 @@
     updateConfirmation(now);
 }
 
-void home_guard::noteHandover(const std::string& owner, std::uint64_t revision)
+void ownership_guard::recordHandover(const std::string& owner, std::uint64_t revision)
 {
     if (revision < m_revision)
         return;
@@ -121,13 +121,13 @@
 
 // At another revision, other agents may have run ids that are ours now: the returned ids are
 // complete only at the same revision.
-void home_guard::noteMemoryBack(std::uint64_t revision)
+void ownership_guard::recordMemoryRestored(std::uint64_t revision)
 {
     if (revision == m_revision)
         m_memoryRestored = true;
 }
 
-bool home_guard::acceptGrant(const std::string& owner, std::uint64_t revision, instant until)
+bool ownership_guard::acceptGrant(const std::string& owner, std::uint64_t revision, instant until)
 {
     if (revision != m_revision || m_ownershipReleased)
         return false;
@@ -135,7 +135,7 @@
     return true;
 }
 
-std::optional<std::uint64_t> home_guard::withdrawGrant(const std::string& owner, instant now)
+std::optional<std::uint64_t> ownership_guard::withdrawGrant(const std::string& owner, instant now)
 {
     const auto found = m_grants.find(owner);
     if (found == m_grants.end())
@@ -147,7 +147,7 @@
     return withdrawn.revision;
 }
 
-bool home_guard::majorityAtRevision() const
+bool ownership_guard::majorityAtRevision() const
 {
     const auto agreed = std::count_if(m_peers.begin(), m_peers.end(), [&](const std::string& name) {
         const auto peer = m_statuses.find(name);
@@ -156,7 +156,7 @@
     return 2 * (static_cast<std::size_t>(agreed) + 1) > m_peers.size() + 1;
 }
 
-std::vector<std::string> home_guard::proofsMissing() const
+std::vector<std::string> ownership_guard::unconfirmedAgents() const
 {
     std::vector<std::string> names;
     for (const auto& name : m_peers) {
@@ -170,15 +170,15 @@
 // After a start the agent knows neither whether its revision is stale nor which agents still act
 // on an older one. Neither is possible once every agent of the pool has reported the same revision.
 // The quarantine counts from then, because other agents may have run our ids before.
-void home_guard::updateConfirmation(instant now)
+void ownership_guard::updateConfirmation(instant now)
 {
-    if (m_revisionConfirmed || m_revision == 0 || !proofsMissing().empty())
+    if (m_revisionConfirmed || m_revision == 0 || !unconfirmedAgents().empty())
         return;
     m_revisionConfirmed = true;
     m_quarantineFrom = now;
 }
 
-bool home_guard::inQuarantine(instant now) const
+bool ownership_guard::inQuarantine(instant now) const
 {
     return !m_memoryRestored && now - m_quarantineFrom < m_idLife;
 }
@@ -186,12 +186,12 @@
 // Knowing our own runs is enough: the agent that asks tracks every change of owners since its own
 // confirmation and asks each previous owner itself. If we waited for handovers here as well, two
 // agents could wait for each other forever.
-bool home_guard::remembersAllRuns(instant now) const
+bool ownership_guard::remembersAllRuns(instant now) const
 {
     return m_revisionConfirmed && !inQuarantine(now);
 }
 
-bool home_guard::mayGiveAway(instant now) const
+bool ownership_guard::mayReleaseOwnership(instant now) const
 {
     const bool settled = std::all_of(m_transitions.begin(), m_transitions.end(), [&](const transition& change) {
         return change.pending.empty() && (change.lost.empty() || now >= change.lostUntil);
@@ -199,7 +199,7 @@
     return remembersAllRuns(now) && settled;
 }
 
-bool home_guard::ownsIdsOf(const std::string& owner, instant now) const
+bool ownership_guard::ownsIdsOf(const std::string& owner, instant now) const
 {
     if (owner == m_self)
         return true;
@@ -207,7 +207,7 @@
     return found != m_grants.end() && found->second.revision == m_revision && now < found->second.until;
 }
 
-result<void> home_guard::check(const request_id& id, instant now) const
+result<void> ownership_guard::check(const request_id& id, instant now) const
 {
     const std::string text = id.text();
     if (m_ownershipReleased)
@@ -226,7 +226,7 @@
     return boost::outcome_v2::success();
 }
 
-result<void> home_guard::checkTransition(const transition& change, const std::string& idText, instant now) const
+result<void> ownership_guard::checkTransition(const transition& change, const std::string& idText, instant now) const
 {
     const std::string previous(rendezvousPick(idText, change.previousOwners));
     if (previous == m_self || previous.empty())
@@ -238,7 +238,7 @@
     return boost::outcome_v2::success();
 }
 
-std::vector<std::string> home_guard::handoversMissing() const
+std::vector<std::string> ownership_guard::pendingHandovers() const
 {
     std::set<std::string> names;
     for (const auto& change : m_transitions)
@@ -246,9 +246,9 @@
     return { names.begin(), names.end() };
 }
 
-std::vector<std::string> home_guard::standbys() const
+std::vector<std::string> ownership_guard::standbys() const
 {
-    return keepersOf(m_self, m_owners);
+    return standbysOf(m_self, m_owners);
 }
 
 } // namespace rampgap
--- a/Source/policy/home_guard.h
+++ b/Source/policy/ownership_guard.h
@@ -15,32 +15,32 @@
 namespace rampgap {
 
 // State that an agent reports to the other agents of its pool.
-struct agent_standing {
+struct agent_status {
     std::string name;
     std::uint64_t incarnation = 0;
     std::uint64_t revision = 0;
 
-    bool operator==(const agent_standing&) const = default;
+    bool operator==(const agent_status&) const = default;
 };
 
 // Rendezvous hashing over the declared backends gives the owner of an id. The guard refuses an id
 // until (a) after a start, every agent of the pool has reported our revision, (b) the id life has
 // passed since then, or the record of the previous incarnation's ids was restored, and (c) after a
 // change of owners, the previous owner has handed its ids over.
-class home_guard {
+class ownership_guard {
 public:
-    home_guard(std::string self, std::uint64_t incarnation, instant startedAt);
+    ownership_guard(std::string self, std::uint64_t incarnation, instant startedAt);
 
     // A declaration came into force; revisions only increase.
     void apply(const declaration&, instant now);
     // Another agent of the pool answered.
-    void notePeer(const agent_standing&, instant now);
+    void mergePeerState(const agent_status&, instant now);
     // `owner` handed its ids over while it was at `revision`.
-    void noteHandover(const std::string& owner, std::uint64_t revision);
+    void recordHandover(const std::string& owner, std::uint64_t revision);
     // A standby returned the ids of the previous incarnation, which it took over at `revision`.
-    void noteMemoryBack(std::uint64_t revision);
+    void recordMemoryRestored(std::uint64_t revision);
     // As far as known, no standby holds ids of the previous incarnation: the quarantine lasts its full time.
-    void noteNoMemory() { m_memoryUnavailable = true; }
+    void recordMemoryUnavailable() { m_memoryUnavailable = true; }
     // `owner` grants its ids to this agent until `until`, as of `revision`. False if our revision
     // is another one or we have released our own ids.
     bool acceptGrant(const std::string& owner, std::uint64_t revision, instant until);
@@ -51,22 +51,22 @@
 
     result<void> check(const request_id&, instant now) const;
 
-    agent_standing status() const { return { m_self, m_incarnation, m_revision }; }
+    agent_status status() const { return { m_self, m_incarnation, m_revision }; }
     // True if this agent knows all ids that it ran within the id life.
     bool remembersAllRuns(instant now) const;
     // True if another agent may own this agent's ids with what this agent knows alone.
-    bool mayGiveAway(instant now) const;
+    bool mayReleaseOwnership(instant now) const;
     // Names of the agents whose handover is still pending.
-    std::vector<std::string> handoversMissing() const;
+    std::vector<std::string> pendingHandovers() const;
     // Agents of the pool that have not yet reported our revision.
-    std::vector<std::string> proofsMissing() const;
+    std::vector<std::string> unconfirmedAgents() const;
     // Agents that may hold this agent's ids while it restarts, in order of preference.
     std::vector<std::string> standbys() const;
     bool inQuarantine(instant now) const;
     // True once every agent of the pool has reported our revision after our start.
     bool revisionConfirmed() const { return m_revisionConfirmed; }
     // True if no confirmation and no handover of another agent is pending.
-    bool allConfirmed() const { return m_revisionConfirmed && handoversMissing().empty() && majorityAtRevision(); }
+    bool allConfirmed() const { return m_revisionConfirmed && pendingHandovers().empty() && majorityAtRevision(); }
 
 private:
     // A change of owners whose previous owners may not have handed their ids over.
@@ -103,11 +103,11 @@
     std::vector<std::string> m_owners;
     std::vector<std::string> m_peers;
     std::vector<transition> m_transitions;
-    std::map<std::string, agent_standing> m_statuses;
+    std::map<std::string, agent_status> m_statuses;
     std::map<std::string, grant> m_grants;
 };
 
 // The agents that may hold the ids of `owner` while it restarts, in order of preference.
-std::vector<std::string> keepersOf(const std::string& owner, const std::vector<std::string>& owners);
+std::vector<std::string> standbysOf(const std::string& owner, const std::vector<std::string>& owners);
 
 } // namespace rampgap
--- a/Source/policy/peer_table.cpp
+++ b/Source/policy/peer_table.cpp
@@ -19,7 +19,7 @@
 {
 }
 
-bool peer_table::noteHeard(const peer_info& peer, instant now)
+bool peer_table::recordContact(const peer_info& peer, instant now)
 {
     if (peer.host == m_self.host)
         return false;
@@ -47,7 +47,7 @@
     updateMaxLiveEntries();
 }
 
-void peer_table::noteLeaving(const std::string& host)
+void peer_table::recordLeaving(const std::string& host)
 {
     m_peers.erase(host);
 }
@@ -107,14 +107,14 @@
     return others;
 }
 
-std::vector<std::string> peer_table::seedsToAsk() const
+std::vector<std::string> peer_table::seedsToContact() const
 {
     std::vector<std::string> missing = otherSeeds();
     std::erase_if(missing, [this](const std::string& host) { return m_peers.contains(host); });
     return missing;
 }
 
-std::string peer_table::pickedEntry(std::string_view key) const
+std::string peer_table::responsibleEntry(std::string_view key) const
 {
     std::vector<std::string> hosts { m_self.host };
     for (const auto& peer : live(peer_role::entry))
@@ -137,7 +137,7 @@
     return all;
 }
 
-std::vector<peer_info> peer_table::sampleNear(peer_role role, std::size_t count, std::mt19937_64& random) const
+std::vector<peer_info> peer_table::samplePreferringOwnZone(peer_role role, std::size_t count, std::mt19937_64& random) const
 {
     std::vector<peer_info> all = sample(role, m_peers.size(), random);
     const auto near = std::stable_partition(all.begin(), all.end(), [this](const peer_info& peer) { return peer.zone == m_self.zone; });
--- a/Source/policy/peer_table.h
+++ b/Source/policy/peer_table.h
@@ -36,10 +36,10 @@
     peer_table(peer_info self, std::vector<std::string> seedHosts, milliseconds silence);
 
     // The process itself sent a message. True if it was unknown or has been restarted.
-    bool noteHeard(const peer_info&, instant now);
+    bool recordContact(const peer_info&, instant now);
     // Another process reports that it heard from this one `age` ago.
     void mergeReport(const peer_info&, milliseconds age, instant now);
-    void noteLeaving(const std::string& host);
+    void recordLeaving(const std::string& host);
     // Drops the processes that were silent for too long; returns their hosts.
     std::vector<std::string> dropSilent(instant now);
     void setSeeds(std::vector<std::string> seedHosts);
@@ -49,22 +49,22 @@
     std::vector<peer_info> live(peer_role) const;
     std::size_t count(peer_role) const;
     // Highest number of entry VMs that were live at the same time, this one included.
-    std::size_t mostEntries() const { return m_maxLiveEntries; }
+    std::size_t maxLiveEntries() const { return m_maxLiveEntries; }
     // All seeds except this process.
     std::vector<std::string> otherSeeds() const;
     // Seeds that are not among the live peers: they are contacted until they answer.
-    std::vector<std::string> seedsToAsk() const;
+    std::vector<std::string> seedsToContact() const;
     // Host of the entry VM that is responsible for `key`, possibly this one. All live entry VMs agree
     // on it once they have received the same gossip.
-    std::string pickedEntry(std::string_view key) const;
-    bool isPickedEntry(std::string_view key) const { return pickedEntry(key) == m_self.host; }
+    std::string responsibleEntry(std::string_view key) const;
+    bool isResponsibleEntry(std::string_view key) const { return responsibleEntry(key) == m_self.host; }
     // Time since the last news of a peer.
     milliseconds age(const std::string& host, instant now) const;
     // Up to `count` random live peers.
     std::vector<peer_info> sample(peer_role, std::size_t count, std::mt19937_64&) const;
     // The same, seven of ten from the own zone if it has that many: traffic between zones is
     // expensive, and the processes of the own zone matter most.
-    std::vector<peer_info> sampleNear(peer_role, std::size_t count, std::mt19937_64&) const;
+    std::vector<peer_info> samplePreferringOwnZone(peer_role, std::size_t count, std::mt19937_64&) const;
     // One random live peer of each zone.
     std::vector<peer_info> onePerZone(peer_role, std::mt19937_64&) const;
 
--- a/Source/policy/published_state.cpp
+++ b/Source/policy/published_state.cpp
@@ -9,7 +9,7 @@
     class no_order : public item_order {
     public:
         std::optional<item_rank> rank(const published_item&) const override { return std::nullopt; }
-        bool holdsUnlisted(const published_item&) const override { return false; }
+        bool staysInForceUnlisted(const published_item&) const override { return false; }
     };
 
     const no_order unordered;
@@ -127,7 +127,7 @@
     return changes;
 }
 
-void published_state::noteProof(store_position upTo, instant askedAt)
+void published_state::recordFreshness(store_position upTo, instant askedAt)
 {
     if (upTo != m_position || empty())
         return;
@@ -175,18 +175,18 @@
 {
 }
 
-bool freshness_rule::mayUseKeys(std::optional<instant> provenAt, instant now) const
+bool freshness_rule::mayUseKeys(std::optional<instant> freshAsOf, instant now) const
 {
     if (!m_strict)
         return true;
-    return provenAt && now - *provenAt < m_maxAge;
+    return freshAsOf && now - *freshAsOf < m_maxAge;
 }
 
-milliseconds freshness_rule::refusedFor(std::optional<instant> provenAt, instant now) const
+milliseconds freshness_rule::refusedFor(std::optional<instant> freshAsOf, instant now) const
 {
-    if (!provenAt || mayUseKeys(provenAt, now))
+    if (!freshAsOf || mayUseKeys(freshAsOf, now))
         return milliseconds(0);
-    return std::chrono::duration_cast<milliseconds>(now - *provenAt) - m_maxAge;
+    return std::chrono::duration_cast<milliseconds>(now - *freshAsOf) - m_maxAge;
 }
 
 } // namespace rampgap
--- a/Source/policy/published_state.h
+++ b/Source/policy/published_state.h
@@ -74,12 +74,12 @@
     published_delta since(store_position) const;
     // A reading that was requested at `askedAt` showed nothing newer than `upTo`. Counts only if
     // this copy is at `upTo`: the freshness of other items says nothing about these.
-    void noteProof(store_position upTo, instant askedAt);
+    void recordFreshness(store_position upTo, instant askedAt);
 
     store_position position() const { return m_position; }
     bool empty() const { return m_position.revision == 0; }
     // When the newest reading that confirmed this copy was requested; empty if there was none.
-    std::optional<instant> provenAt() const { return m_freshAsOf; }
+    std::optional<instant> freshAsOf() const { return m_freshAsOf; }
     // The items in force.
     const items_by_key& items() const { return m_items; }
     const retained_items& retained() const { return m_retained; }
@@ -105,9 +105,9 @@
     freshness_rule(bool strict, milliseconds bound, milliseconds margin);
 
     // True if a request with a key may be admitted now.
-    bool mayUseKeys(std::optional<instant> provenAt, instant now) const;
+    bool mayUseKeys(std::optional<instant> freshAsOf, instant now) const;
     // How long no request with a key could be admitted; 0 while they can.
-    milliseconds refusedFor(std::optional<instant> provenAt, instant now) const;
+    milliseconds refusedFor(std::optional<instant> freshAsOf, instant now) const;
 
 private:
     bool m_strict;
--- a/Source/policy/reader_choice.cpp
+++ b/Source/policy/reader_choice.cpp
@@ -21,7 +21,7 @@
     return false;
 }
 
-std::vector<std::string> lookedAfterBy(const std::string& self, const std::vector<std::string>& order)
+std::vector<std::string> monitoredBy(const std::string& self, const std::vector<std::string>& order)
 {
     const auto own = std::find(order.begin(), order.end(), self);
     if (own == order.end())
--- a/Source/policy/reader_choice.h
+++ b/Source/policy/reader_choice.h
@@ -19,6 +19,6 @@
 bool isChosenReader(const std::string& self, const std::vector<std::string>& order, const std::set<std::string>& unreachable);
 
 // The processes that `self` monitors: all before it in the order, if it is one of them.
-std::vector<std::string> lookedAfterBy(const std::string& self, const std::vector<std::string>& order);
+std::vector<std::string> monitoredBy(const std::string& self, const std::vector<std::string>& order);
 
 } // namespace rampgap
--- a/Source/policy/retained_items.cpp
+++ b/Source/policy/retained_items.cpp
@@ -20,7 +20,7 @@
 
 void retained_items::recordRemoval(const published_item& item)
 {
-    if (m_order.holdsUnlisted(item))
+    if (m_order.staysInForceUnlisted(item))
         return;
     m_removed.push_back(item);
     if (m_removed.size() > maxRemovals)
@@ -38,7 +38,7 @@
 bool retained_items::isIndefinite(const retained_item& retained) const
 {
     const auto rank = rankOf(retained);
-    return m_order.holdsUnlisted(retained.item) || (rank && rank->stage == item_stage::leaving);
+    return m_order.staysInForceUnlisted(retained.item) || (rank && rank->stage == item_stage::leaving);
 }
 
 // A server that was removed and has registered again has another creation revision: only the very
@@ -46,7 +46,7 @@
 bool retained_items::prevails(const retained_item& retained, const published_item* listed) const
 {
     if (!listed)
-        return !retained.removed && m_order.holdsUnlisted(retained.item);
+        return !retained.removed && m_order.staysInForceUnlisted(retained.item);
     if (retained.removed && retained.item.created != listed->created)
         return false;
     return rankOf(retained) > m_order.rank(*listed);
--- a/Source/policy/routing_policy.cpp
+++ b/Source/policy/routing_policy.cpp
@@ -22,19 +22,19 @@
         return std::find(ids.begin(), ids.end(), id) != ids.end();
     }
 
-    bool eligible(const routing_question& input, const backend_table& table, backend_id id)
+    bool eligible(const routing_input& input, const backend_table& table, backend_id id)
     {
         return !contains(input.tried, id) && table.usable(id, input.now);
     }
 
     // If all backends look unavailable, this VM's view is assumed to be wrong. A backend that left
     // by itself may have returned; if it has not, it refuses the request as not run.
-    bool eligibleIfAllUnavailable(const routing_question& input, const backend_table& table, backend_id id)
+    bool eligibleIfAllUnavailable(const routing_input& input, const backend_table& table, backend_id id)
     {
-        return !contains(input.tried, id) && table.mayBeBack(id);
+        return !contains(input.tried, id) && table.mayHaveReturned(id);
     }
 
-    backend_id drawFrom(const std::vector<backend_id>& pool, const routing_question& input, const backend_table& table, std::mt19937_64& random)
+    backend_id drawFrom(const std::vector<backend_id>& pool, const routing_input& input, const backend_table& table, std::mt19937_64& random)
     {
         if (pool.empty())
             return noBackend;
@@ -53,7 +53,7 @@
     }
 
     // Among the backends that look unavailable, the one whose time as suspect ends first.
-    backend_id pickUnavailable(const routing_question& input, const backend_table& table)
+    backend_id pickUnavailable(const routing_input& input, const backend_table& table)
     {
         backend_id best = noBackend;
         for (const backend_id id : table.pool(input.service)) {
@@ -67,7 +67,7 @@
 
     class round_robin : public routing_policy {
     public:
-        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64&) override
+        backend_id choose(const routing_input& input, const backend_table& table, std::mt19937_64&) override
         {
             const auto& pool = table.pool(input.service);
             for (std::size_t i = 0; i < pool.size(); ++i) {
@@ -84,7 +84,7 @@
 
     class least_outstanding : public routing_policy {
     public:
-        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64&) override
+        backend_id choose(const routing_input& input, const backend_table& table, std::mt19937_64&) override
         {
             backend_id best = noBackend;
             double least = std::numeric_limits<double>::infinity();
@@ -100,7 +100,7 @@
 
     class random_two : public routing_policy {
     public:
-        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64& random) override
+        backend_id choose(const routing_input& input, const backend_table& table, std::mt19937_64& random) override
         {
             const auto& pool = table.pool(input.service);
             const backend_id first = drawFrom(pool, input, table, random);
@@ -113,7 +113,7 @@
 
     class prefix_affinity : public routing_policy {
     public:
-        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64& random) override
+        backend_id choose(const routing_input& input, const backend_table& table, std::mt19937_64& random) override
         {
             const auto& pool = table.pool(input.service);
             if (!pool.empty() && input.prefix != 0) {
@@ -131,7 +131,7 @@
     // hashes to, which are the same for all entry VMs.
     class scored : public routing_policy {
     public:
-        backend_id choose(const routing_question& input, const backend_table& table, std::mt19937_64& random) override
+        backend_id choose(const routing_input& input, const backend_table& table, std::mt19937_64& random) override
         {
             best_choice best;
             const auto estimates = m_prefixes.find(input.prefix, input.now);
@@ -151,7 +151,7 @@
             return best.id == noBackend ? pickUnavailable(input, table) : best.id;
         }
 
-        void notePlaced(std::uint64_t prefix, backend_id backend, instant now) override
+        void recordPlacement(std::uint64_t prefix, backend_id backend, instant now) override
         {
             if (prefix != 0)
                 m_prefixes.record(prefix, backend, now);
@@ -171,13 +171,13 @@
             }
         };
 
-        static double score(const routing_question& input, const backend_table& table, backend_id id)
+        static double score(const routing_input& input, const backend_table& table, backend_id id)
         {
             const double distance = table.view(id).sameZone ? 0 : otherZoneMs;
             return table.predictedWaitMs(id, input.now) + distance;
         }
 
-        static void offer(best_choice& best, backend_id id, const routing_question& input, const backend_table& table)
+        static void offer(best_choice& best, backend_id id, const routing_input& input, const backend_table& table)
         {
             if (id != noBackend)
                 best.offer(id, score(input, table, id));
@@ -188,7 +188,7 @@
 
 } // namespace
 
-void routing_policy::notePlaced(std::uint64_t, backend_id, instant)
+void routing_policy::recordPlacement(std::uint64_t, backend_id, instant)
 {
 }
 
--- a/Source/policy/store_reading.cpp
+++ b/Source/policy/store_reading.cpp
@@ -31,15 +31,15 @@
 
 bool shouldReadToJoin(const joining_process& process, const reading_settings& settings)
 {
-    const auto spread = static_cast<std::int64_t>(process.draw * static_cast<double>(settings.joinSpread.count()));
+    const auto spread = static_cast<std::int64_t>(process.draw * static_cast<double>(settings.joinJitter.count()));
     if (process.isSeed)
-        return process.peersEmpty || process.sinceStart >= settings.joinPatience;
-    return process.sinceStart >= settings.joinPatience + milliseconds(spread);
+        return process.peersEmpty || process.sinceStart >= settings.joinDelay;
+    return process.sinceStart >= settings.joinDelay + milliseconds(spread);
 }
 
 bool shouldRead(const peer_table& peers, std::optional<milliseconds> freshnessAge, const reading_settings& settings)
 {
-    return !freshnessAge || *freshnessAge > settings.oldestProof || isReader(peers, settings);
+    return !freshnessAge || *freshnessAge > settings.maxFreshnessAge || isReader(peers, settings);
 }
 
 } // namespace rampgap
--- a/Source/policy/store_reading.h
+++ b/Source/policy/store_reading.h
@@ -12,13 +12,13 @@
     std::size_t readersPerZone = 1;
     // A process whose copy was last confirmed longer ago than this reads by itself, chosen or not.
     // A reader's own confirmation may be two waits of its watch old (1.6 s).
-    milliseconds oldestProof { 1'900 };
+    milliseconds maxFreshnessAge { 1'900 };
     // A process that has just started leaves the reading to the seeds for `joinDelay` plus a random
     // part of `joinJitter`; if all seeds are gone, the first one that reads serves the others. A seed
     // reads as soon as it knows that its peers hold nothing, at the latest after `joinDelay`: it asks
     // them first because a restored store may have lost what they know.
-    milliseconds joinPatience { 400 };
-    milliseconds joinSpread { 800 };
+    milliseconds joinDelay { 400 };
+    milliseconds joinJitter { 800 };
 
     bool operator==(const reading_settings&) const = default;
 };
--- a/Source/policy/upstream_choice.cpp
+++ b/Source/policy/upstream_choice.cpp
@@ -45,7 +45,7 @@
 namespace {
 
     // The servers that, as far as known, can be reached and run requests; all of them if none can.
-    std::vector<std::string> runningPool(const std::string& service, const backend_directory& backends, const group_board& groups, instant now)
+    std::vector<std::string> runningPool(const std::string& service, const backend_directory& backends, const group_directory& groups, instant now)
     {
         std::vector<std::string> pool = backends.pool(service);
         if (!groups.closed(service, now))
@@ -72,12 +72,12 @@
     // groups have free slots. Not decided rank by rank: entry VMs with the same old counts would all
     // choose the few ranks that seem to have free slots (149 of them with 129 ranks: 0.024 of the
     // requests wait too long, 0.020 without).
-    bool runsInTime(const upstream_question& input, const group_load& load)
+    bool runsInTime(const upstream_input& input, const group_load& load)
     {
-        const milliseconds gap = timelyPass(input.longestGap);
-        const int limit = std::min(load.capacity, sequencesToRun(*input.costs, load.strain, gap));
+        const milliseconds gap = passTimeLimit(input.longestGap);
+        const int limit = std::min(load.capacity, sequencesToRun(*input.costs, load.slowdown, gap));
         const bool hasFreeSlots = load.requests < limit * load.ranks;
-        return hasFreeSlots && passTime(*input.costs, limit, load.strain) <= static_cast<double>(gap.count());
+        return hasFreeSlots && passTime(*input.costs, limit, load.slowdown) <= static_cast<double>(gap.count());
     }
 
 } // namespace
@@ -85,18 +85,18 @@
 namespace {
 
     // The request slots of a server that can be filled within the rate limit that it has announced.
-    int fillableSlots(const listed_backend& listed, const server_backpressure& backpressure, const pool_question& input)
+    int fillableSlots(const listed_backend& listed, const server_backpressure& backpressure, const pool_load_input& input)
     {
         const auto perSecond = backpressure.limits.limitOf(backendHash(listed.id), input.now);
         if (!perSecond)
             return listed.capacity;
-        const double filled = *perSecond * std::chrono::duration<double>(input.usualRun).count();
+        const double filled = *perSecond * std::chrono::duration<double>(input.typicalRunTime).count();
         return static_cast<int>(std::clamp(std::ceil(filled), 1.0, static_cast<double>(std::max(1, listed.capacity))));
     }
 
 } // namespace
 
-pool_load poolLoad(const pool_question& input, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
+pool_load poolLoad(const pool_load_input& input, const backend_directory& backends, const load_table& loads, const group_directory& groups, const server_backpressure& backpressure)
 {
     pool_load sum;
     for (const auto& id : runningPool(input.service, backends, groups, input.now)) {
@@ -105,13 +105,13 @@
         const int capacity = fillableSlots(*backends.find(id), backpressure, input);
         sum.capacity += capacity;
         const bool bounded = input.costs && input.longestGap > milliseconds(0);
-        sum.toRun += bounded ? std::min(capacity, sequencesToRun(*input.costs, groups.strainAt(input.service, backendHash(id), input.now), input.longestGap)) : capacity;
+        sum.targetRunning += bounded ? std::min(capacity, sequencesToRun(*input.costs, groups.slowdownAt(input.service, backendHash(id), input.now), input.longestGap)) : capacity;
         sum.requests += loads.total(id, input.now).requests;
     }
     return sum;
 }
 
-std::vector<upstream_choice::candidate> upstream_choice::candidates(const upstream_question& input, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure)
+std::vector<upstream_choice::candidate> upstream_choice::candidates(const upstream_input& input, const backend_directory& backends, const load_table& loads, const group_directory& groups, const server_backpressure& backpressure)
 {
     std::vector<candidate> found;
     std::map<std::string, group_load> byGroup;
@@ -135,7 +135,7 @@
         each.group = groups.groupOf(input.service, hash);
         auto& group = byGroup[each.group];
         if (group.ranks++ == 0)
-            group.strain = groups.strainAt(input.service, hash, input.now);
+            group.slowdown = groups.slowdownAt(input.service, hash, input.now);
         group.requests += load.requests;
         group.capacity = listed->capacity;
         each.id = std::move(id);
@@ -152,7 +152,7 @@
     return found;
 }
 
-void upstream_choice::prefer(std::vector<candidate>& all, const upstream_question& input, const group_board& groups)
+void upstream_choice::prefer(std::vector<candidate>& all, const upstream_input& input, const group_directory& groups)
 {
     const auto keepIfAny = [&all](const auto& good) {
         if (std::any_of(all.begin(), all.end(), good))
@@ -186,7 +186,7 @@
     return *std::min_element(all.begin(), all.end(), byDelay);
 }
 
-std::string upstream_choice::choose(const upstream_question& input, const backend_directory& backends, const load_board& loads, const group_board& groups, const server_backpressure& backpressure, std::mt19937_64& random) const
+std::string upstream_choice::choose(const upstream_input& input, const backend_directory& backends, const load_table& loads, const group_directory& groups, const server_backpressure& backpressure, std::mt19937_64& random) const
 {
     std::vector<candidate> all = candidates(input, backends, loads, groups, backpressure);
     if (all.empty())
--- a/Source/policy/upstream_choice.h
+++ b/Source/policy/upstream_choice.h
@@ -4,7 +4,7 @@
 #include "policy/backend_directory.h"
 #include "policy/fleet_configuration.h"
 #include "policy/group_directory.h"
-#include "policy/load_board.h"
+#include "policy/load_table.h"
 #include "policy/server_backpressure.h"
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace rampgap {
 
-struct upstream_question {
+struct upstream_input {
     std::string service;
     // Set for model engines.
     std::optional<engine_costs> costs;
@@ -41,30 +41,30 @@
     int capacity = 0;
     int requests = 0;
     // Part of the capacity to use at once so that the requested gap is met.
-    int toRun = 0;
+    int targetRunning = 0;
 
     bool operator==(const pool_load&) const = default;
 };
 
 // Parameters of poolLoad().
-struct pool_question {
+struct pool_load_input {
     std::string service;
     std::optional<engine_costs> costs;
     milliseconds longestGap { 0 };
     // Typical time from the start of a request to the end of its answer: it tells how many request
     // slots a server with a rate limit can fill.
-    milliseconds usualRun { 0 };
+    milliseconds typicalRunTime { 0 };
     instant now;
 };
 
-pool_load poolLoad(const pool_question&, const backend_directory&, const load_board&, const group_directory&, const server_backpressure&);
+pool_load poolLoad(const pool_load_input&, const backend_directory&, const load_table&, const group_directory&, const server_backpressure&);
 
 class upstream_choice {
 public:
     // The id of the server; empty if the service has none that requests may be sent to. A server of a
     // closed group is chosen only if all groups are closed. One whose group's passes are too long for
     // the caller, or whose group has all requests that it can run in time, only if no other is left.
-    std::string choose(const upstream_question&, const backend_directory&, const load_board&, const group_board&, const server_backpressure&, std::mt19937_64&) const;
+    std::string choose(const upstream_input&, const backend_directory&, const load_table&, const group_directory&, const server_backpressure&, std::mt19937_64&) const;
 
 private:
     struct candidate {
@@ -80,9 +80,9 @@
         bool timely = true;
     };
 
-    static std::vector<candidate> candidates(const upstream_question&, const backend_directory&, const load_board&, const group_board&, const server_backpressure&);
+    static std::vector<candidate> candidates(const upstream_input&, const backend_directory&, const load_table&, const group_directory&, const server_backpressure&);
     // Drops the less suitable candidates as long as any other is left.
-    static void prefer(std::vector<candidate>&, const upstream_question&, const group_board&);
+    static void prefer(std::vector<candidate>&, const upstream_input&, const group_directory&);
     static const candidate& bestOfFew(const std::vector<candidate>&, std::mt19937_64&);
 };
 
--- a/Tests/config/chain-property/test.cpp
+++ b/Tests/config/chain-property/test.cpp
@@ -23,7 +23,7 @@
 declaration confirmed(int number, std::uint64_t revision, std::uint64_t baseRevision, const std::string& base)
 {
     const declaration body = intent(number);
-    return body.linkedAs({ revision, baseRevision, base, planDigest(base, body.canonicalBody()) });
+    return body.withLink({ revision, baseRevision, base, planDigest(base, body.canonicalBody()) });
 }
 
 // Model of a published history, processes that read it, and messages between them.
@@ -94,10 +94,10 @@
         const declaration good = confirmed(number, revision, chain.revision(), chain.digest());
         switch (*rc::gen::inRange(0, 6)) {
         case 0:
-            publish(good.linkedAs({ revision, chain.revision(), chain.digest(), "" }).canonicalText());
+            publish(good.withLink({ revision, chain.revision(), chain.digest(), "" }).canonicalText());
             break;
         case 1:
-            publish(intent(number + 1).linkedAs(good.link()).canonicalText());
+            publish(intent(number + 1).withLink(good.link()).canonicalText());
             break;
         case 2:
             publish("[rules\nbroken");
@@ -201,13 +201,13 @@
     revision_chain chain;
     const declaration good = confirmed(1, 1, 0, "");
     const auto refused = [&](const std::string& text) { return chain.offer(text, document_source::peer).kind == offer_kind::refused; };
-    CHECK(refused(good.linkedAs({ 1, 0, "", "" }).canonicalText()));
+    CHECK(refused(good.withLink({ 1, 0, "", "" }).canonicalText()));
     CHECK(chain.refusals().back().reason.find("not confirmed") == 0);
-    CHECK(refused(intent(9).linkedAs(good.link()).canonicalText()));
+    CHECK(refused(intent(9).withLink(good.link()).canonicalText()));
     CHECK(refused(good.canonicalText().substr(0, good.canonicalText().size() / 2)));
     CHECK(refused("no ini"));
     CHECK(refused(std::string(maxDeclarationBytes + 1, ';')));
-    CHECK(refused(good.linkedAs({ 1, 1, "", good.link().planDigest }).canonicalText()));
-    CHECK(refused(good.linkedAs({ 0, 0, "", good.link().planDigest }).canonicalText()));
+    CHECK(refused(good.withLink({ 1, 1, "", good.link().planDigest }).canonicalText()));
+    CHECK(refused(good.withLink({ 0, 0, "", good.link().planDigest }).canonicalText()));
     CHECK(chain.inForce() == nullptr);
 }
--- a/Tests/config/racing-operators/test.cpp
+++ b/Tests/config/racing-operators/test.cpp
@@ -21,7 +21,7 @@
     const declaration base = fleet.lastPublished();
     const auto change = [&](const std::string& backend, std::uint64_t revision) {
         const auto body = *base.withDraining(backend);
-        return body.linkedAs({ revision, 1, base.digest(), planDigest(base.digest(), body.canonicalBody()) }).canonicalText();
+        return body.withLink({ revision, 1, base.digest(), planDigest(base.digest(), body.canonicalBody()) }).canonicalText();
     };
     const std::string platform = fleet.platform().address();
     int first = 0;
--- a/Tests/config/refused-declarations/test.cpp
+++ b/Tests/config/refused-declarations/test.cpp
@@ -15,8 +15,8 @@
     fleet.startServing();
     const declaration base = fleet.lastPublished();
     const auto changed = *base.withDraining("a1");
-    const std::string good = changed.linkedAs({ 2, 1, base.digest(), planDigest(base.digest(), changed.canonicalBody()) }).canonicalText();
-    const std::string unconfirmed = changed.linkedAs({ 2, 1, base.digest(), "" }).canonicalText();
+    const std::string good = changed.withLink({ 2, 1, base.digest(), planDigest(base.digest(), changed.canonicalBody()) }).canonicalText();
+    const std::string unconfirmed = changed.withLink({ 2, 1, base.digest(), "" }).canonicalText();
     std::string tampered = good;
     tampered.replace(tampered.find("slots = 8"), 9, "slots = 9");
     std::uint64_t revision = 2;
--- a/Tests/platform/backend-list/test.cpp
+++ b/Tests/platform/backend-list/test.cpp
@@ -74,9 +74,9 @@
 {
     backend_directory list;
     list.list(server("a", "10.0.0.1:80", 1));
-    list.noteResult("a", try_result::unreachable, zero);
+    list.recordResult("a", attempt_result::unreachable, zero);
     const auto first = list.health("a").avoidedUntil - zero;
-    list.noteResult("a", try_result::unreachable, zero);
+    list.recordResult("a", attempt_result::unreachable, zero);
     CHECK(list.health("a").avoidedUntil - zero > first);
     CHECK(list.avoided("a", zero));
     CHECK_FALSE(list.avoided("a", zero + milliseconds(10'000)));
@@ -89,8 +89,8 @@
     list.list(server("grey", "10.0.0.1:80", 1));
     list.list(server("good", "10.0.0.2:80", 1));
     for (int i = 0; i < 20; ++i) {
-        list.noteResult("grey", i % 2 == 0 ? try_result::failed : try_result::answered, zero);
-        list.noteResult("good", i % 20 == 0 ? try_result::failed : try_result::answered, zero);
+        list.recordResult("grey", i % 2 == 0 ? attempt_result::failed : attempt_result::answered, zero);
+        list.recordResult("good", i % 20 == 0 ? attempt_result::failed : attempt_result::answered, zero);
     }
     CHECK(list.avoided("grey", zero));
     CHECK_FALSE(list.avoided("good", zero));
@@ -122,8 +122,8 @@
     first.incarnation = 1'000;
     CHECK_FALSE(list.list(first));
     for (int i = 0; i < 20; ++i)
-        list.noteResult("a", try_result::failed, zero);
-    list.noteResult("a", try_result::replaced, zero);
+        list.recordResult("a", attempt_result::failed, zero);
+    list.recordResult("a", attempt_result::replaced, zero);
     CHECK_FALSE(list.acceptsWork("a"));
     // Another entry of the same incarnation changes nothing.
     first.capacity = 6;
@@ -188,8 +188,8 @@
     listed_backend leaving = server("s", "10.0.0.1:80", 1);
     leaving.incarnation = 100;
     list.list(leaving);
-    CHECK(list.noteLeaving("s", zero));
-    CHECK_FALSE(list.noteLeaving("s", zero));
+    CHECK(list.recordLeaving("s", zero));
+    CHECK_FALSE(list.recordLeaving("s", zero));
     CHECK(list.pool("model").empty());
     list.list(leaving);
     CHECK_FALSE(list.acceptsWork("s"));
@@ -207,8 +207,8 @@
     backend_directory list;
     list.list(server("stays", "10.0.0.1:80", 1));
     list.list(server("gone", "10.0.0.2:80", 1));
-    list.noteLeaving("stays", zero);
-    list.noteLeaving("gone", zero);
+    list.recordLeaving("stays", zero);
+    list.recordLeaving("gone", zero);
     list.unlist("gone", zero, zero);
     list.removeExpired(zero + std::chrono::minutes(9));
     list.removeExpired(zero + std::chrono::minutes(11));
--- a/Tests/platform/cut-group/test.cpp
+++ b/Tests/platform/cut-group/test.cpp
@@ -52,13 +52,13 @@
             for (int rank = 0; rank < ranksOfGroup; ++rank)
                 counts[backendHash(idOf(zone, rank))] = { zone == "b" ? 9 : std::uniform_int_distribution<int>(2, 6)(m_random), 0, 1 };
         }
-        m_loads.noteRanks(counts, now);
+        m_loads.mergeRankLoads(counts, now);
     }
 
     // Zone of the server of one attempt.
     std::string tryAt(instant now, const std::string& cut)
     {
-        upstream_question input;
+        upstream_input input;
         input.service = service;
         input.ownZone = "b";
         input.costs = costs();
@@ -68,7 +68,7 @@
         const std::string zone = id.substr(0, 1);
         const bool reached = zone != cut;
         const instant ended = reached ? now : now + connectTimeout;
-        m_backends.noteResult(id, reached ? try_result::answered : try_result::unreachable, ended);
+        m_backends.recordResult(id, reached ? attempt_result::answered : attempt_result::unreachable, ended);
         groups.recordReachability(service, backendHash(id), reached, ended);
         return zone;
     }
@@ -76,7 +76,7 @@
     // Zone of the second attempt of a request whose first server did not answer.
     std::string retryAfterSilenceOf(const std::string& id, instant now)
     {
-        upstream_question input;
+        upstream_input input;
         input.service = service;
         input.ownZone = "b";
         input.costs = costs();
@@ -90,7 +90,7 @@
 
 private:
     backend_directory m_backends;
-    load_board m_loads { milliseconds(600) };
+    load_table m_loads { milliseconds(600) };
     upstream_choice m_choice;
     std::mt19937_64 m_random { 11 };
 };
@@ -128,14 +128,14 @@
     entry_vm entry;
     entry.receiveUpdates(zero, "none", zero);
     for (int i = 0; i < 5; ++i)
-        entry.groups.noteReach(service, backendHash(idOf("a", 3)), false, zero);
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
-    entry.groups.noteReach(service, backendHash(idOf("a", 5)), false, zero);
-    CHECK(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
+        entry.groups.recordReachability(service, backendHash(idOf("a", 3)), false, zero);
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("a", 4)), zero));
+    entry.groups.recordReachability(service, backendHash(idOf("a", 5)), false, zero);
+    CHECK(entry.groups.isUnreachable(service, backendHash(idOf("a", 4)), zero));
     // Other groups are not affected, and one success ends it.
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("b", 4)), zero));
-    entry.groups.noteReach(service, backendHash(idOf("a", 6)), true, zero);
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 4)), zero));
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("b", 4)), zero));
+    entry.groups.recordReachability(service, backendHash(idOf("a", 6)), true, zero);
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("a", 4)), zero));
 }
 
 TEST_CASE("if updates of all groups are missing, or there is only one group, silence does not count as unreachable")
@@ -143,11 +143,11 @@
     entry_vm entry;
     entry.receiveUpdates(zero, "none", zero);
     const instant later = zero + milliseconds(5'000);
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("a", 0)), later));
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("a", 0)), later));
     // Updates of one group arrive again, those of the others do not.
-    entry.groups.note({ { service, "b" }, { 1, true } }, milliseconds(0), later);
-    CHECK(entry.groups.outOfReach(service, backendHash(idOf("a", 0)), later));
-    CHECK_FALSE(entry.groups.outOfReach(service, backendHash(idOf("b", 0)), later));
+    entry.groups.mergeUpdate({ { service, "b" }, { 1, true } }, milliseconds(0), later);
+    CHECK(entry.groups.isUnreachable(service, backendHash(idOf("a", 0)), later));
+    CHECK_FALSE(entry.groups.isUnreachable(service, backendHash(idOf("b", 0)), later));
 }
 
 TEST_CASE("unreachable servers are used if there are no others")
@@ -167,9 +167,9 @@
     entry.receiveUpdates(zero, "none", zero);
     for (int i = 0; i < 50; ++i)
         CHECK(entry.retryAfterSilenceOf(idOf("b", i % ranksOfGroup), zero) != "b");
-    CHECK(entry.groups.openElsewhere(service, backendHash(idOf("b", 0)), zero));
+    CHECK(entry.groups.hasOtherOpenGroup(service, backendHash(idOf("b", 0)), zero));
     // With the other groups closed or cut off it has to stay in its group.
-    entry.groups.note({ { service, "a" }, { 1, false } }, milliseconds(0), zero);
+    entry.groups.mergeUpdate({ { service, "a" }, { 1, false } }, milliseconds(0), zero);
     for (int rank = 0; rank < 2; ++rank)
         entry.groups.recordReachability(service, backendHash(idOf("c", rank)), false, zero);
     CHECK_FALSE(entry.groups.hasOtherOpenGroup(service, backendHash(idOf("b", 0)), zero));
--- a/Tests/platform/limit-exchange/test.cpp
+++ b/Tests/platform/limit-exchange/test.cpp
@@ -51,7 +51,7 @@
             nodes.push_back(std::make_unique<node>(*this, context, log, "vm" + std::to_string(i)));
         for (auto& each : nodes) {
             for (auto& other : nodes)
-                each->peers.noteHeard({ other->host, "a", peer_role::entry, 1 }, boot_clock::now());
+                each->peers.recordContact({ other->host, "a", peer_role::entry, 1 }, boot_clock::now());
         }
     }
 
@@ -74,7 +74,7 @@
 
     node& arbiter()
     {
-        const std::string host = nodes[0]->peers.pickedEntry("limit " + std::to_string(server));
+        const std::string host = nodes[0]->peers.responsibleEntry("limit " + std::to_string(server));
         return *nodes[static_cast<std::size_t>(host.back() - '0')];
     }
 
--- a/Tests/platform/peers/test.cpp
+++ b/Tests/platform/peers/test.cpp
@@ -23,23 +23,23 @@
 TEST_CASE("a silent process is dropped, one that others report is kept")
 {
     peer_table table(entry("10.0.0.1", "a"), { "10.0.0.2" }, silence);
-    CHECK(table.seedsToAsk() == std::vector<std::string> { "10.0.0.2" });
-    table.noteHeard(entry("10.0.0.2", "a"), zero);
-    table.noteHeard(entry("10.0.0.3", "b"), zero);
-    CHECK(table.seedsToAsk().empty());
+    CHECK(table.seedsToContact() == std::vector<std::string> { "10.0.0.2" });
+    table.recordContact(entry("10.0.0.2", "a"), zero);
+    table.recordContact(entry("10.0.0.3", "b"), zero);
+    CHECK(table.seedsToContact().empty());
     table.mergeReport(entry("10.0.0.3", "b"), milliseconds(100), zero + milliseconds(4'000));
     const auto dropped = table.dropSilent(zero + silence);
     CHECK(dropped == std::vector<std::string> { "10.0.0.2" });
     CHECK(table.count(peer_role::entry) == 1);
-    CHECK(table.mostEntries() == 3);
+    CHECK(table.maxLiveEntries() == 3);
 }
 
 TEST_CASE("messages of an earlier incarnation of a process change nothing")
 {
     peer_table table(entry("10.0.0.1", "a"), {}, silence);
-    CHECK(table.noteHeard(entry("10.0.0.2", "a", 7), zero));
-    CHECK_FALSE(table.noteHeard(entry("10.0.0.2", "a", 6), zero + milliseconds(10)));
-    CHECK(table.noteHeard(entry("10.0.0.2", "a", 8), zero + milliseconds(20)));
+    CHECK(table.recordContact(entry("10.0.0.2", "a", 7), zero));
+    CHECK_FALSE(table.recordContact(entry("10.0.0.2", "a", 6), zero + milliseconds(10)));
+    CHECK(table.recordContact(entry("10.0.0.2", "a", 8), zero + milliseconds(20)));
     table.mergeReport(entry("10.0.0.1", "a", 99), milliseconds(0), zero);
     CHECK(table.count(peer_role::entry) == 1);
 }
@@ -51,12 +51,12 @@
     for (const auto& self : all) {
         peer_table table(self, {}, silence);
         for (const auto& other : all)
-            table.noteHeard(other, zero);
+            table.recordContact(other, zero);
         const bool reads = shouldRead(table, milliseconds(100), {});
         readers += reads && self.zone == "a" ? 1 : 0;
         CHECK(chosenReaders(table, {}).size() == 2);
         CHECK(shouldRead(table, std::nullopt, {}));
-        CHECK(shouldRead(table, reading_settings {}.oldestProof + milliseconds(1), {}));
+        CHECK(shouldRead(table, reading_settings {}.maxFreshnessAge + milliseconds(1), {}));
     }
     CHECK(readers == 1);
 }
@@ -71,10 +71,10 @@
         return readers;
     };
     CHECK(readersAt(milliseconds(0)) == 3);
-    CHECK(readersAt(settings.joinPatience - milliseconds(1)) == 3);
+    CHECK(readersAt(settings.joinDelay - milliseconds(1)) == 3);
     // From here on the first readers serve the others.
-    CHECK(readersAt(settings.joinPatience + milliseconds(30)) < 10);
-    CHECK(readersAt(settings.joinPatience + settings.joinSpread) == 149);
+    CHECK(readersAt(settings.joinDelay + milliseconds(30)) < 10);
+    CHECK(readersAt(settings.joinDelay + settings.joinJitter) == 149);
 }
 
 TEST_CASE("a seed whose peers hold something asks them first, since a restored store may have lost it")
@@ -82,8 +82,8 @@
     const reading_settings settings;
     const bool peersEmpty = false;
     CHECK_FALSE(shouldReadToJoin({ true, milliseconds(0), 0.0, peersEmpty }, settings));
-    CHECK_FALSE(shouldReadToJoin({ true, settings.joinPatience - milliseconds(1), 0.0, peersEmpty }, settings));
-    CHECK(shouldReadToJoin({ true, settings.joinPatience, 0.0, peersEmpty }, settings));
+    CHECK_FALSE(shouldReadToJoin({ true, settings.joinDelay - milliseconds(1), 0.0, peersEmpty }, settings));
+    CHECK(shouldReadToJoin({ true, settings.joinDelay, 0.0, peersEmpty }, settings));
 }
 
 TEST_CASE("a fleet of 149 processes that gossip with 12 at a time wrongly drops none in a minute")
@@ -95,7 +95,7 @@
         fleet.emplace_back(entry("10.0.0." + std::to_string(i), std::string(1, static_cast<char>('a' + i % 5))), std::vector<std::string>(), milliseconds(3'000));
     for (auto& table : fleet) {
         for (const auto& other : fleet)
-            table.noteHeard(other.self(), zero);
+            table.recordContact(other.self(), zero);
     }
     std::map<std::string, std::size_t> indexOf;
     for (std::size_t i = 0; i < fleet.size(); ++i)
@@ -106,9 +106,9 @@
         for (auto& table : fleet) {
             lost += static_cast<int>(table.dropSilent(now).size());
             const auto known = table.sample(peer_role::entry, 24, random);
-            for (const auto& target : table.sampleNear(peer_role::entry, gossipFanout, random)) {
+            for (const auto& target : table.samplePreferringOwnZone(peer_role::entry, gossipFanout, random)) {
                 auto& receiver = fleet[indexOf[target.host]];
-                receiver.noteHeard(table.self(), now);
+                receiver.recordContact(table.self(), now);
                 if (round % 4 != 0)
                     continue;
                 for (const auto& other : known)
@@ -124,13 +124,13 @@
     std::mt19937_64 random(4);
     peer_table table(entry("10.0.0.1", "a"), {}, silence);
     for (int i = 2; i < 60; ++i)
-        table.noteHeard(entry("10.0.0." + std::to_string(i), i % 2 == 0 ? "a" : "b"), zero);
+        table.recordContact(entry("10.0.0." + std::to_string(i), i % 2 == 0 ? "a" : "b"), zero);
     const auto far = [](const std::vector<peer_info>& peers) {
         return std::count_if(peers.begin(), peers.end(), [](const peer_info& peer) { return peer.zone != "a"; });
     };
-    const auto chosen = table.sampleNear(peer_role::entry, 12, random);
+    const auto chosen = table.samplePreferringOwnZone(peer_role::entry, 12, random);
     CHECK(chosen.size() == 12);
     CHECK(far(chosen) == 4);
-    CHECK(table.sampleNear(peer_role::entry, 100, random).size() == 58);
+    CHECK(table.samplePreferringOwnZone(peer_role::entry, 100, random).size() == 58);
     CHECK(table.onePerZone(peer_role::entry, random).size() == 2);
 }
--- a/Tests/platform/published-state/test.cpp
+++ b/Tests/platform/published-state/test.cpp
@@ -41,12 +41,12 @@
 {
     published_state state;
     state.apply(published_snapshot { { item("a", "1", 3) }, 5 });
-    state.noteProof({ 0, 4 }, zero + milliseconds(100));
-    CHECK_FALSE(state.provenAt());
-    state.noteProof({ 0, 5 }, zero + milliseconds(90));
-    CHECK(state.provenAt() == zero + milliseconds(90));
-    state.noteProof({ 0, 5 }, zero + milliseconds(80));
-    CHECK(state.provenAt() == zero + milliseconds(90));
+    state.recordFreshness({ 0, 4 }, zero + milliseconds(100));
+    CHECK_FALSE(state.freshAsOf());
+    state.recordFreshness({ 0, 5 }, zero + milliseconds(90));
+    CHECK(state.freshAsOf() == zero + milliseconds(90));
+    state.recordFreshness({ 0, 5 }, zero + milliseconds(80));
+    CHECK(state.freshAsOf() == zero + milliseconds(90));
 }
 
 // A restored store reuses revision numbers: VMs that had read it themselves and VMs that had its state from a peer held
@@ -76,8 +76,8 @@
 {
     published_state state;
     state.apply(published_snapshot { { item("a", "1", 46) }, 46, 1 });
-    state.noteProof({ 2, 46 }, zero + milliseconds(100));
-    CHECK_FALSE(state.provenAt());
+    state.recordFreshness({ 2, 46 }, zero + milliseconds(100));
+    CHECK_FALSE(state.freshAsOf());
 }
 
 TEST_CASE("a copy of another epoch gets all items, also those with a lower revision than its own")
--- a/Tests/platform/restored-store/test.cpp
+++ b/Tests/platform/restored-store/test.cpp
@@ -156,7 +156,7 @@
         }
         return reached();
     }
-    bool serverDrains() { return !state.backends().open("i-1"); }
+    bool serverDrains() { return !state.backends().acceptsWork("i-1"); }
     std::uint64_t version() const { return state.configuration()->version(); }
 
     process_context context { "entry", "a", "entry" };
--- a/Tests/platform/retained-items/test.cpp
+++ b/Tests/platform/retained-items/test.cpp
@@ -46,7 +46,7 @@
     bool differsFrom(const vm& other)
     {
         snapshot_choice choice;
-        return choice.noteTold("other", true, other.state.summary(), state.summary(), context.now()).has_value();
+        return choice.recordPeerSummary("other", true, other.state.summary(), state.summary(), context.now()).has_value();
     }
     void hears(const vm& other)
     {
@@ -55,14 +55,14 @@
         told.delta = other.state.published().since(state.published().position());
         for (const auto& [key, retained] : other.state.published().retained().all())
             told.retained.push_back(retained);
-        told.provenAt = other.state.published().provenAt();
+        told.freshAsOf = other.state.published().freshAsOf();
         told.doubt = other.state.listDoubt();
         told.listSettled = other.state.listSettled();
         told.restoredAt = other.state.restoredAt();
         state.take(told, "other");
     }
     std::uint64_t version() const { return state.configuration()->version(); }
-    bool open() { return state.backends().open("i-1"); }
+    bool open() { return state.backends().acceptsWork("i-1"); }
 
     process_context context { "entry", "a", "entry" };
     decision_log log { "entry", STDERR_FILENO };
@@ -154,7 +154,7 @@
     published_item next { "servers/i-2", server("ready", 300), 38, 38 };
     knowing.reads({ configurationItem(1, 1), serverItem("ready", 100, 36, 36), next }, { 2, 38 });
     CHECK_FALSE(knowing.open());
-    CHECK(knowing.state.backends().open("i-2"));
+    CHECK(knowing.state.backends().acceptsWork("i-2"));
 }
 
 // An entry VM had been suspended while the store was restored, listed it by itself as it went on, and kept a server that had
@@ -184,23 +184,23 @@
     knowing.reads({ configurationItem(61, 44) }, { 2, 46 });
     vm started;
     started.reads({ configurationItem(61, 44) }, { 2, 46 });
-    const auto before = started.state.published().provenAt();
+    const auto before = started.state.published().freshAsOf();
     const instant later = started.context.now() + milliseconds(50);
     started.state.notePeerProof(knowing.state.summary(), later);
-    CHECK(started.state.published().provenAt() == before);
+    CHECK(started.state.published().freshAsOf() == before);
     started.hears(knowing);
     started.state.notePeerProof(knowing.state.summary(), later);
-    CHECK(started.state.published().provenAt() == later);
+    CHECK(started.state.published().freshAsOf() == later);
 }
 
 TEST_CASE("a reading right after the restoration proves nothing until peers had time to tell what they know")
 {
     vm reader;
     reader.reads({ configurationItem(61, 44) }, { 1, 46 });
-    const auto before = reader.state.published().provenAt();
+    const auto before = reader.state.published().freshAsOf();
     REQUIRE(before);
     reader.reads({ configurationItem(61, 44) }, { 2, 44 });
-    CHECK(reader.state.published().provenAt() == before);
+    CHECK(reader.state.published().freshAsOf() == before);
 }
 
 TEST_CASE("whatever is lost, read, restarted and told: no VM goes back, and all agree once they have told each other")
--- a/Tests/platform/server-backoff/test.cpp
+++ b/Tests/platform/server-backoff/test.cpp
@@ -78,12 +78,12 @@
     backend_directory backends;
     for (const std::string id : { "a", "b" })
         backends.list({ id, "model", "10.0.0.1:" + id, "z", 8, false, 1 });
-    load_board loads { milliseconds(400) };
+    load_table loads { milliseconds(400) };
     group_directory groups { milliseconds(1'500) };
     std::mt19937_64 random(1);
     server_backpressure backpressure;
     backpressure.backoffs.recordBackoff(backendHash("a"), milliseconds(1'000), at(0));
-    upstream_question question;
+    upstream_input question;
     question.service = "model";
     question.now = at(100);
     for (int i = 0; i < 20; ++i)
--- a/Tests/platform/server-limit/choice.cpp
+++ b/Tests/platform/server-limit/choice.cpp
@@ -29,10 +29,10 @@
     }
 
     backend_directory backends;
-    load_board loads { milliseconds(400) };
+    load_table loads { milliseconds(400) };
     group_directory groups { milliseconds(1'500) };
     server_backpressure backpressure;
-    upstream_question question;
+    upstream_input question;
     std::mt19937_64 random { 1 };
 };
 
@@ -58,7 +58,7 @@
 TEST_CASE("the slots that a limit leaves empty are not counted")
 {
     made fleet;
-    const pool_question asked { "plain", std::nullopt, milliseconds(0), milliseconds(1'500), now };
+    const pool_load_input asked { "plain", std::nullopt, milliseconds(0), milliseconds(1'500), now };
     CHECK(poolLoad(asked, fleet.backends, fleet.loads, fleet.groups, fleet.backpressure).capacity == 64);
     fleet.name("own0", 0);
     CHECK(poolLoad(asked, fleet.backends, fleet.loads, fleet.groups, fleet.backpressure).capacity == 56 + 3);
--- a/Tests/platform/several-groups/test.cpp
+++ b/Tests/platform/several-groups/test.cpp
@@ -45,7 +45,7 @@
 
 struct fleet {
     backend_directory backends;
-    load_board loads { milliseconds(600) };
+    load_table loads { milliseconds(600) };
     group_directory groups { lifetime };
     server_backpressure backpressure;
     std::mt19937_64 random { 5 };
@@ -64,9 +64,9 @@
     }
 }
 
-upstream_question ask()
+upstream_input ask()
 {
-    upstream_question question;
+    upstream_input question;
     question.service = service;
     question.costs = engine_costs {};
     question.ownZone = "z";
--- a/Tests/platform/slow-group/test.cpp
+++ b/Tests/platform/slow-group/test.cpp
@@ -33,7 +33,7 @@
         load_report_by_hash counts;
         for (int rank = 0; rank < ranksOfGroup; ++rank)
             counts[backendHash(group + std::to_string(rank))] = { each, 0, 1 };
-        loads.noteRanks(counts, zero);
+        loads.mergeRankLoads(counts, zero);
     }
 
     // How many of 300 requests each group gets.
@@ -41,7 +41,7 @@
     {
         std::map<std::string, int> counts;
         for (int i = 0; i < 300; ++i) {
-            upstream_question input;
+            upstream_input input;
             input.service = service;
             input.costs = test::usualCosts();
             input.promptTokens = 800;
@@ -54,7 +54,7 @@
     }
 
     backend_directory backends;
-    load_board loads { milliseconds(600) };
+    load_table loads { milliseconds(600) };
     group_directory groups { milliseconds(1'500) };
     std::mt19937_64 random { 5 };
 };
--- a/Tests/platform/snapshots/test.cpp
+++ b/Tests/platform/snapshots/test.cpp
@@ -62,34 +62,34 @@
 TEST_CASE("a change that the own zone has is fetched there at once")
 {
     snapshot_choice choice;
-    CHECK(choice.noteTold("far", false, at(8), at(7), zero) == std::nullopt);
-    CHECK(choice.noteTold("near", true, at(8), at(7), zero + milliseconds(20)) == "near");
-    CHECK(choice.due({ 0, 8 }, zero + milliseconds(900)) == std::nullopt);
+    CHECK(choice.recordPeerSummary("far", false, at(8), at(7), zero) == std::nullopt);
+    CHECK(choice.recordPeerSummary("near", true, at(8), at(7), zero + milliseconds(20)) == "near");
+    CHECK(choice.overdueFetch({ 0, 8 }, zero + milliseconds(900)) == std::nullopt);
 }
 
 TEST_CASE("a change that the own zone does not get is fetched from another in time")
 {
     snapshot_choice choice;
-    CHECK(choice.noteTold("far", false, at(8), at(7), zero) == std::nullopt);
-    CHECK(choice.due({ 0, 7 }, zero + milliseconds(399)) == std::nullopt);
-    CHECK(choice.due({ 0, 7 }, zero + milliseconds(400)) == "far");
-    CHECK(choice.noteTold("farther", false, at(9), at(7), zero + milliseconds(450)) == "farther");
+    CHECK(choice.recordPeerSummary("far", false, at(8), at(7), zero) == std::nullopt);
+    CHECK(choice.overdueFetch({ 0, 7 }, zero + milliseconds(399)) == std::nullopt);
+    CHECK(choice.overdueFetch({ 0, 7 }, zero + milliseconds(400)) == "far");
+    CHECK(choice.recordPeerSummary("farther", false, at(9), at(7), zero + milliseconds(450)) == "farther");
     // The wait is for each change anew, not for each that comes while one is missing.
-    CHECK(choice.noteTold("far", false, at(10), at(9), zero + milliseconds(500)) == std::nullopt);
-    CHECK(choice.due({ 0, 9 }, zero + milliseconds(900)) == "far");
+    CHECK(choice.recordPeerSummary("far", false, at(10), at(9), zero + milliseconds(500)) == std::nullopt);
+    CHECK(choice.overdueFetch({ 0, 9 }, zero + milliseconds(900)) == "far");
 }
 
 TEST_CASE("a process that holds nothing fetches from whoever it hears")
 {
     snapshot_choice choice;
-    CHECK(choice.noteTold("far", false, at(8), at(0), zero) == "far");
-    CHECK(choice.noteTold("far", false, at(8), at(8), zero) == std::nullopt);
+    CHECK(choice.recordPeerSummary("far", false, at(8), at(0), zero) == "far");
+    CHECK(choice.recordPeerSummary("far", false, at(8), at(8), zero) == std::nullopt);
 }
 
 TEST_CASE("the state of a restored store is fetched, though its revision is lower")
 {
     snapshot_choice choice;
-    CHECK(choice.noteTold("near", true, { { 2, 31 }, 0 }, { { 1, 35 }, 0 }, zero) == "near");
-    CHECK(choice.noteTold("near", true, { { 1, 35 }, 0 }, { { 2, 31 }, 0 }, zero) == std::nullopt);
-    CHECK(choice.due({ 2, 31 }, zero + milliseconds(900)) == std::nullopt);
+    CHECK(choice.recordPeerSummary("near", true, { { 2, 31 }, 0 }, { { 1, 35 }, 0 }, zero) == "near");
+    CHECK(choice.recordPeerSummary("near", true, { { 1, 35 }, 0 }, { { 2, 31 }, 0 }, zero) == std::nullopt);
+    CHECK(choice.overdueFetch({ 2, 31 }, zero + milliseconds(900)) == std::nullopt);
 }
--- a/Tests/platform/start-of-all/test.cpp
+++ b/Tests/platform/start-of-all/test.cpp
@@ -60,7 +60,7 @@
     platform::http_codec codec;
     platform::item_decoder decoder;
     fleet_state state { context, log, decoder, milliseconds(0) };
-    load_board loads { milliseconds(400) };
+    load_table loads { milliseconds(400) };
     group_directory groups { milliseconds(1'500) };
     crash_history history;
     server_backpressure backpressure;
--- a/Tests/platform/suspected-request/test.cpp
+++ b/Tests/platform/suspected-request/test.cpp
@@ -256,10 +256,10 @@
             peer_table peers({ self, "zone", peer_role::entry, 1 }, {}, milliseconds(3'000));
             for (const auto& other : hosts) {
                 if (other != self)
-                    peers.noteHeard({ other, "zone", peer_role::entry, 1 }, zero);
+                    peers.recordContact({ other, "zone", peer_role::entry, 1 }, zero);
             }
-            peers.noteHeard({ "agent", "zone", peer_role::agent, 1 }, zero);
-            if (peers.isPickedEntry(key))
+            peers.recordContact({ "agent", "zone", peer_role::agent, 1 }, zero);
+            if (peers.isResponsibleEntry(key))
                 picked.push_back(self);
         }
         REQUIRE(picked.size() == 1);
--- a/Tests/platform/suspended-vm/test.cpp
+++ b/Tests/platform/suspended-vm/test.cpp
@@ -27,8 +27,8 @@
 {
     const process_context context { "entry", "a", "entry" };
     const freshness_rule rule(true, milliseconds(5'000), milliseconds(1'400));
-    const instant provenAt = context.now();
-    CHECK(rule.mayUseKeys(provenAt, context.now()));
+    const instant freshAsOf = context.now();
+    CHECK(rule.mayUseKeys(freshAsOf, context.now()));
     test::suspendVm(suspension);
-    CHECK_FALSE(rule.mayUseKeys(provenAt, context.now()));
+    CHECK_FALSE(rule.mayUseKeys(freshAsOf, context.now()));
 }
--- a/Tests/platform/upstream-choice/fleet_model.cpp
+++ b/Tests/platform/upstream-choice/fleet_model.cpp
@@ -13,7 +13,7 @@
     std::string idOf(int server) { return "s" + std::to_string(1'000 + server); }
 
     struct entry_vm {
-        load_board loads { milliseconds(400) };
+        load_table loads { milliseconds(400) };
         group_directory groups { milliseconds(1'500) };
         server_backpressure backpressure;
     };
@@ -77,7 +77,7 @@
             while (!m_ends.empty() && m_ends.top().at <= until) {
                 const end_of_run ended = m_ends.top();
                 m_ends.pop();
-                m_entries[static_cast<std::size_t>(ended.entry)]->loads.noteEnded(idOf(ended.server), 0);
+                m_entries[static_cast<std::size_t>(ended.entry)]->loads.recordEnded(idOf(ended.server), 0);
                 server& at = m_servers[static_cast<std::size_t>(ended.server)];
                 --at.running;
                 if (at.queue.empty())
@@ -109,7 +109,7 @@
         {
             while (!m_polls.empty() && m_polls.front().first <= m_now) {
                 for (auto& entry : m_entries)
-                    entry->loads.noteRanks(m_polls.front().second, m_now);
+                    entry->loads.mergeRankLoads(m_polls.front().second, m_now);
                 m_polls.pop_front();
             }
         }
@@ -118,7 +118,7 @@
         {
             const int index = std::uniform_int_distribution<int>(0, m_load.entries - 1)(m_random);
             entry_vm& entry = *m_entries[static_cast<std::size_t>(index)];
-            upstream_question input;
+            upstream_input input;
             input.service = service;
             input.costs = costs();
             input.promptTokens = 700;
@@ -127,7 +127,7 @@
             input.longestGap = m_load.longestGap;
             const std::string id = upstream_choice().choose(input, m_backends, entry.loads, entry.groups, entry.backpressure, m_random);
             const int chosen = std::stoi(id.substr(1)) - 1'000;
-            entry.loads.noteSent(id, 0, m_now);
+            entry.loads.recordSent(id, 0, m_now);
             const double spread = std::lognormal_distribution<double>(-deviation * deviation / 2, deviation)(m_random);
             const milliseconds run(static_cast<std::int64_t>(m_load.meanRunMs * spread));
             ++m_requests;
--- a/Tests/platform/upstream-choice/test.cpp
+++ b/Tests/platform/upstream-choice/test.cpp
@@ -12,7 +12,7 @@
 
 struct fleet {
     backend_directory backends;
-    load_board loads { milliseconds(600) };
+    load_table loads { milliseconds(600) };
     group_directory groups { milliseconds(1'500) };
     server_backpressure backpressure;
     std::mt19937_64 random { 5 };
@@ -24,9 +24,9 @@
         made.backends.list({ "s" + std::to_string(i), "model", "10.0.0." + std::to_string(i) + ":80", "a", 12, false, 1 });
 }
 
-upstream_question ask(const std::vector<std::string>& tried = {})
+upstream_input ask(const std::vector<std::string>& tried = {})
 {
-    upstream_question input;
+    upstream_input input;
     input.service = "model";
     engine_costs costs;
     costs.stepMs = 4.5;
@@ -50,7 +50,7 @@
     load_report_by_hash counts;
     for (int i = 0; i < 60; ++i)
         counts[backendHash("s" + std::to_string(i))] = { i == 0 ? 0 : 5, 0, 1 };
-    made.loads.noteRanks(counts, zero);
+    made.loads.mergeRankLoads(counts, zero);
     const upstream_choice choice;
     std::map<std::string, int> chosen;
     for (int entry = 0; entry < 40; ++entry)
@@ -66,7 +66,7 @@
     load_report_by_hash counts;
     for (int i = 0; i < 20; ++i)
         counts[backendHash("s" + std::to_string(i))] = { i == 7 ? 3 : 12, 0, 1 };
-    made.loads.noteRanks(counts, zero);
+    made.loads.mergeRankLoads(counts, zero);
     const upstream_choice choice;
     for (int i = 0; i < 30; ++i)
         CHECK(choice.choose(ask(), made.backends, made.loads, made.groups, made.backpressure, made.random) == "s7");
@@ -78,7 +78,7 @@
     addServers(made, 2);
     const upstream_choice choice;
     CHECK(choice.choose(ask({ "s0" }), made.backends, made.loads, made.groups, made.backpressure, made.random) == "s1");
-    made.backends.noteResult("s1", try_result::unreachable, zero);
+    made.backends.recordResult("s1", attempt_result::unreachable, zero);
     for (int i = 0; i < 10; ++i)
         CHECK(choice.choose(ask(), made.backends, made.loads, made.groups, made.backpressure, made.random) == "s0");
     CHECK(choice.choose(ask({ "s0" }), made.backends, made.loads, made.groups, made.backpressure, made.random) == "s1");
@@ -89,11 +89,11 @@
 {
     fleet made;
     addServers(made, 3);
-    made.backends.noteResult("s1", try_result::silent, zero);
+    made.backends.recordResult("s1", attempt_result::silent, zero);
     // Answers since then have brought its failure share close to 0, but the pause still holds.
     for (int i = 0; i < 40; ++i)
-        made.backends.noteResult("s1", try_result::answered, zero);
-    made.loads.noteRanks({ { backendHash("s0"), { 10, 0, 1 } }, { backendHash("s2"), { 10, 0, 1 } }, { backendHash("s1"), { 0, 0, 1 } } }, zero);
+        made.backends.recordResult("s1", attempt_result::answered, zero);
+    made.loads.mergeRankLoads({ { backendHash("s0"), { 10, 0, 1 } }, { backendHash("s2"), { 10, 0, 1 } }, { backendHash("s1"), { 0, 0, 1 } } }, zero);
     const upstream_choice choice;
     for (int i = 0; i < 20; ++i)
         CHECK(choice.choose(ask(), made.backends, made.loads, made.groups, made.backpressure, made.random) != "s1");
@@ -101,24 +101,24 @@
 
 TEST_CASE("counts of the engines override reports of peers, and include what was sent since")
 {
-    load_board loads(milliseconds(600));
-    loads.notePeer("p", { { backendHash("s"), { 9, 100, 1 } } }, zero);
+    load_table loads(milliseconds(600));
+    loads.mergePeerState("p", { { backendHash("s"), { 9, 100, 1 } } }, zero);
     CHECK(loads.total("s", zero).requests == 9);
-    loads.noteRanks({ { backendHash("s"), { 4, 0, 1 } } }, zero);
+    loads.mergeRankLoads({ { backendHash("s"), { 4, 0, 1 } } }, zero);
     CHECK(loads.total("s", zero).requests == 4);
-    loads.noteSent("s", 50, zero);
+    loads.recordSent("s", 50, zero);
     CHECK(loads.total("s", zero).requests == 5);
     CHECK(loads.total("s", zero + milliseconds(500)).requests == 4);
-    loads.noteEnded("s", 50);
+    loads.recordEnded("s", 50);
     CHECK(loads.own("s").requests == 0);
     CHECK(loads.total("s", zero + milliseconds(700)).requests == 0);
 }
 
 TEST_CASE("only servers that a leader has reported are known to be ranks of its group")
 {
-    load_board loads(milliseconds(400));
+    load_table loads(milliseconds(400));
     CHECK_FALSE(loads.isKnownRank("a"));
-    loads.noteRanks({ { backendHash("a"), { 2, 0, 1 } } }, instant {});
+    loads.mergeRankLoads({ { backendHash("a"), { 2, 0, 1 } } }, instant {});
     CHECK(loads.isKnownRank("a"));
     CHECK_FALSE(loads.isKnownRank("b"));
 }
--- a/Tests/requests/at-most-once-property/once_model.cpp
+++ b/Tests/requests/at-most-once-property/once_model.cpp
@@ -25,7 +25,7 @@
     declaration parsed(const std::string& backends, std::uint64_t revision)
     {
         auto made = declaration::parse("[rules]\nid_life_ms = 1000\n[service " + service + "]\npath = /f\n" + backends, "model");
-        return made.value().linkedAs({ revision, revision - 1, "", "" });
+        return made.value().withLink({ revision, revision - 1, "", "" });
     }
 
 } // namespace
@@ -102,7 +102,7 @@
     const declaration& last = m_declarations.back();
     const std::size_t changed = m_choices.below(agentCount);
     // At least two owners remain, or nothing could run.
-    const auto& homes = last.homesOf(service);
+    const auto& homes = last.ownersOf(service);
     if (homes.size() <= 2 && std::find(homes.begin(), homes.end(), nameOf(changed)) != homes.end())
         return;
     std::string backends;
@@ -150,7 +150,7 @@
     for (std::size_t asker = 0; asker < agentCount; ++asker) {
         for (std::size_t asked = 0; asked < agentCount; ++asked) {
             if (asker != asked && m_agents[asker].alive && m_agents[asked].alive)
-                m_agents[asker].guard->acceptHandover(m_agents[asked].guard->answerHandover(m_agents[asker].guard->ownership().standing(), false, m_now), m_now);
+                m_agents[asker].guard->acceptHandover(m_agents[asked].guard->answerHandover(m_agents[asker].guard->ownership().status(), false, m_now), m_now);
         }
     }
 }
@@ -181,7 +181,7 @@
     agent& to = m_agents[asked];
     if (asker == asked || !from.alive || !to.alive)
         return;
-    late_answer made { asker, from.incarnation, to.guard->answerHandover(from.guard->ownership().standing(), takeBack, m_now), takeBack };
+    late_answer made { asker, from.incarnation, to.guard->answerHandover(from.guard->ownership().status(), takeBack, m_now), takeBack };
     switch (m_choices.below(6)) {
     case 0:
         break;
--- a/Tests/requests/at-most-once-property/stale_restart.cpp
+++ b/Tests/requests/at-most-once-property/stale_restart.cpp
@@ -20,7 +20,7 @@
         text += "[backend " + name + "]\nzone = z\naddress = 127.0.0.1:1\npeer_address = 127.0.0.1:2\nserves = f\n";
         text += name == draining ? "draining = yes\n" : "";
     }
-    return declaration::parse(text, "test").value().linkedAs({ revision, revision - 1, "", "" });
+    return declaration::parse(text, "test").value().withLink({ revision, revision - 1, "", "" });
 }
 
 } // namespace
@@ -31,7 +31,7 @@
     const declaration later = declared(2, "a0");
     // An id whose owner is a0 under the stale revision and a1 under the later one.
     request_id id { "w", "f", "0" };
-    for (int i = 0; rendezvousPick(id.text(), stale.homesOf("f")) != "a0" || rendezvousPick(id.text(), later.homesOf("f")) != "a1"; ++i)
+    for (int i = 0; rendezvousPick(id.text(), stale.ownersOf("f")) != "a0" || rendezvousPick(id.text(), later.ownersOf("f")) != "a1"; ++i)
         id.key = std::to_string(i);
 
     instant now = start;
@@ -47,7 +47,7 @@
         for (auto& asker : agents) {
             for (auto& asked : agents) {
                 if (asker != asked)
-                    asker->acceptHandover(asked->answerHandover(asker->ownership().standing(), false, now), now);
+                    asker->acceptHandover(asked->answerHandover(asker->ownership().status(), false, now), now);
             }
         }
     };
