--- a/Source/policy/group_directory.cpp
+++ b/Source/policy/group_directory.cpp
@@ -229,7 +229,7 @@
 
 std::vector<std::pair<group_update, milliseconds>> group_directory::updates(instant now) const
 {
-    std::vector<std::pair<group_news, milliseconds>> all;
+    std::vector<std::pair<group_update, milliseconds>> all;
     for (const auto& [key, state] : m_groups) {
         if (now - state.confirmedAt < forgottenAfter)
             all.emplace_back(group_update { key, state.phase }, std::chrono::duration_cast<milliseconds>(now - state.confirmedAt));
--- a/Source/policy/placement_planner.cpp
+++ b/Source/policy/placement_planner.cpp
@@ -21,9 +21,9 @@
     // Most of the least loaded ranks that are tried for one replica: usually the first one fits.
     constexpr std::size_t maxRanksTried = 4;
 
-    bool contains(const std::vector<expert>& held, expert wanted)
+    bool contains(const std::vector<expert>& experts, expert wanted)
     {
-        return std::find(held.begin(), held.end(), wanted) != held.end();
+        return std::find(experts.begin(), experts.end(), wanted) != experts.end();
     }
 
     // Plans the placement of one layer set. Layer sets share the budget of new experts of each rank.
@@ -181,8 +181,8 @@
             const double before = m_loads[hot];
             double best = before - m_minGain;
             std::size_t bestRank = hot;
-            expert given = 0;
-            expert taken = 0;
+            expert outgoing = 0;
+            expert incoming = 0;
             for (std::size_t rank = 0; rank < m_ranks.size(); ++rank) {
                 if (m_loads[rank] >= best)
                     continue;
@@ -198,19 +198,19 @@
                             continue;
                         best = worse;
                         bestRank = rank;
-                        given = mine;
-                        taken = theirs;
+                        outgoing = mine;
+                        incoming = theirs;
                     }
                 }
             }
             if (bestRank == hot)
                 return false;
-            remove(hot, given);
-            remove(bestRank, taken);
-            add(hot, taken);
-            add(bestRank, given);
-            countNew(hot, taken);
-            countNew(bestRank, given);
+            remove(hot, outgoing);
+            remove(bestRank, incoming);
+            add(hot, incoming);
+            add(bestRank, outgoing);
+            countNew(hot, incoming);
+            countNew(bestRank, outgoing);
             return true;
         }
 
@@ -218,8 +218,8 @@
         bool drop(std::size_t hot)
         {
             const double before = m_loads[hot];
-            const std::vector<expert> held = m_ranks[hot];
-            for (const expert e : held) {
+            const std::vector<expert> experts = m_ranks[hot];
+            for (const expert e : experts) {
                 if (replicas(e) < 2)
                     continue;
                 remove(hot, e);
@@ -257,8 +257,8 @@
 double layerSkew(const layer_ranks& ranks, const std::vector<double>& shares, const rank_paces& paces)
 {
     std::vector<int> replicas(shares.size(), 0);
-    for (const auto& held : ranks) {
-        for (const expert e : held)
+    for (const auto& experts : ranks) {
+        for (const expert e : experts)
             ++replicas[e];
     }
     double worst = 0;
--- a/Source/policy/rank_types.h
+++ b/Source/policy/rank_types.h
@@ -87,7 +87,7 @@
     std::uint64_t epoch = 0;
     // An engine refuses orders with a lower number than it has seen.
     std::uint64_t fence = 0;
-    // The order is refused unless the engine has begun exactly so many orders (rank_view::orders).
+    // The order only applies if the engine has begun exactly so many orders (rank_view::orders).
     std::optional<std::uint64_t> expectedOrders;
     // Only for `prepare`.
     std::shared_ptr<const group_placement> contents;
--- a/Tests/platform/map-switch/test.cpp
+++ b/Tests/platform/map-switch/test.cpp
@@ -116,8 +116,8 @@
             m_group.step();
         rank_view after = m_group.view(next.rank);
         after.fresh = draw(8) != 0;
-        const bool seen = fault != 2;
-        acting.change->handleReply(next.rank, next.order.kind, seen ? reply : order_reply::unanswered, seen ? &after : nullptr);
+        const bool answered = fault != 2;
+        acting.change->handleReply(next.rank, next.order.kind, answered ? reply : order_reply::unanswered, answered ? &after : nullptr);
     }
 
     bool unreachable(const leader& acting, std::size_t rank) const
--- a/Tests/platform/several-groups/test.cpp
+++ b/Tests/platform/several-groups/test.cpp
@@ -66,12 +66,12 @@
 
 upstream_input ask()
 {
-    upstream_input question;
-    question.service = service;
-    question.costs = engine_costs {};
-    question.ownZone = "z";
-    question.now = zero;
-    return question;
+    upstream_question input;
+    input.service = service;
+    input.costs = engine_costs {};
+    input.ownZone = "z";
+    input.now = zero;
+    return input;
 }
 
 } // namespace
@@ -93,10 +93,10 @@
             rank_view view = viewOf(group, rank, group == "a" ? 1 : 9);
             view.heldStep = group == "a" ? 0 : 40;
             view.armedPlacement = group == "a" ? 0 : 77;
-            const rank_observation seen { idOf(group, rank), view, { 8, 1, 1, 1 } };
-            among.observe(seen, now);
+            const rank_observation observation { idOf(group, rank), view, { 8, 1, 1, 1 } };
+            among.observe(observation, now);
             if (group == "a")
-                alone.observe(seen, now);
+                alone.observe(observation, now);
         }
         RC_ASSERT(among.epoch() == alone.epoch());
         RC_ASSERT(among.backendIds() == alone.backendIds());
