--- a/Tests/platform/several-groups/test.cpp
+++ b/Tests/platform/several-groups/test.cpp
@@ -66,7 +66,7 @@
 
 upstream_input ask()
 {
-    upstream_question input;
+    upstream_input input;
     input.service = service;
     input.costs = engine_costs {};
     input.ownZone = "z";
--- a/Tests/requests/at-most-once-property/once_model.cpp
+++ b/Tests/requests/at-most-once-property/once_model.cpp
@@ -241,7 +241,7 @@
     crash(which);
     if (!deposit)
         return;
-    for (const auto& name : target.guard->ownership().keepers()) {
+    for (const auto& name : target.guard->ownership().standbys()) {
         const std::size_t index = static_cast<std::size_t>(name.back() - '0');
         agent& keeper = m_agents[index];
         if (!keeper.alive)
