--- a/Source/gateway/store_follower.cpp
+++ b/Source/gateway/store_follower.cpp
@@ -12,17 +12,18 @@
 
 namespace {
 
-    // A store that fails is asked again after this, doubled up to the longest pause. Each
-    // call is priced, but the first one after its return ends the outage for us.
+    // Backoff after a failure, doubled up to the longest pause. Each call has its price, but only
+    // the first one after the store's return ends the outage for this process.
     constexpr milliseconds firstPause { 100 };
     constexpr milliseconds longestPause { 600 };
 
-    // A process that lives on its peers' readings looks so often whether it must read itself.
+    // How often a process that relies on its peers' readings checks whether it must read itself.
     constexpr milliseconds idlePause { 50 };
 
-    // Within it the readers of each zone have listed a restored store and their peers have
-    // fetched it; drawn from the shortest to twice of it, so that the rest do not list at once.
-    constexpr milliseconds listingLeft { 250 };
+    // Within this time the readers of each zone have listed a restored store and their peers have
+    // fetched the result. The wait is drawn from once to twice this time, so that the remaining
+    // processes do not all list at once.
+    constexpr milliseconds peerListingTime { 250 };
 
 } // namespace
 
@@ -44,20 +45,20 @@
 {
     milliseconds pause = firstPause;
     for (;;) {
-        const bool wanted = !m_wanted || m_wanted();
-        if (wanted != m_reading) {
-            m_reading = wanted;
-            m_log.line(wanted ? "reading_begun" : "reading_ended").add("dependency", "store").add("revision", m_state.published().position().revision).add("proof_age_ms", m_state.proofAge().value_or(milliseconds(-1)));
+        const bool shouldRead = !m_shouldRead || m_shouldRead();
+        if (shouldRead != m_reading) {
+            m_reading = shouldRead;
+            m_log.line(shouldRead ? "reading_begun" : "reading_ended").add("dependency", "store").add("revision", m_state.published().position().revision).add("proof_age_ms", m_state.freshnessAge().value_or(milliseconds(-1)));
         }
-        if (!wanted) {
-            // What peers send meanwhile is newer than what a reading left off at.
-            m_needAll = m_state.published().empty();
+        if (!shouldRead) {
+            // State from peers is newer than where the last reading stopped, so no listing is needed.
+            m_needFullListing = m_state.published().empty();
             co_await sleepFor(m_context.io(), idlePause);
             continue;
         }
-        const instant begun = m_context.now();
+        const instant startedAt = m_context.now();
         bool done = false;
-        if (m_needAll)
+        if (m_needFullListing)
             done = co_await readAll();
         else
             done = co_await watchOnce();
@@ -65,23 +66,23 @@
             pause = firstPause;
             continue;
         }
-        // A reading that was left without an answer has taken its pause already.
-        co_await sleepUntil(m_context.io(), std::max(begun + pause, m_context.now() + firstPause));
+        // The time that a failed reading took counts towards the pause.
+        co_await sleepUntil(m_context.io(), std::max(startedAt + pause, m_context.now() + firstPause));
         pause = std::min(pause * 2, longestPause);
     }
 }
 
-// Load pattern: after an outage all of 390 VMs watch the store, and find it restored within 0.6 s.
-// Each listing takes five calls with 2,000 servers: 2,300 calls, above the 2,000 a second that the
-// store gives; left to one reader a zone first, some 50.
-awaitable<bool> store_follower::leaveListing()
+// Load pattern: after an outage all of 390 VMs watch the store and find it restored within 0.6 s.
+// A listing takes five calls with 2,000 servers, which makes 2,300 calls, above the 2,000 per second
+// that the store allows. Left to one reader per zone first, it takes about 50.
+awaitable<bool> store_follower::awaitPeerListing()
 {
-    m_mayLeaveListing = false;
+    m_mayAwaitPeers = false;
     const double draw = std::uniform_real_distribution<double>(1, 2)(m_context.random());
-    const instant until = m_context.now() + std::chrono::duration_cast<duration>(listingLeft * draw);
+    const instant until = m_context.now() + std::chrono::duration_cast<duration>(peerListingTime * draw);
     while (m_context.now() < until) {
         if (m_state.published().position().epoch >= m_epoch.value_or(0)) {
-            m_needAll = false;
+            m_needFullListing = false;
             co_return true;
         }
         co_await sleepFor(m_context.io(), idlePause);
@@ -91,28 +92,28 @@
 
 awaitable<bool> store_follower::readAll()
 {
-    if (m_mayLeaveListing && m_readersBeside && m_readersBeside() && co_await leaveListing())
+    if (m_mayAwaitPeers && m_hasOtherReaders && m_hasOtherReaders() && co_await awaitPeerListing())
         co_return true;
     const instant askedAt = m_context.now();
     m_context.counters().add(metric::platform_reads);
     const auto snapshot = co_await m_source.readAll();
     if (!snapshot) {
-        m_state.noteSourceLost(snapshot.error().message);
+        m_state.recordStoreUnavailable(snapshot.error().message);
         co_return false;
     }
-    m_state.noteSourceRegained();
-    noteEpoch(snapshot.value().position());
-    m_needAll = false;
-    const bool taken = m_state.take(snapshot.value(), askedAt);
-    if (taken) {
-        announceNews();
+    m_state.recordStoreAvailable();
+    recordEpoch(snapshot.value().position());
+    m_needFullListing = false;
+    const bool applied = m_state.applySnapshot(snapshot.value(), askedAt);
+    if (applied) {
+        notifyUpdate();
     } else {
         const store_position held = m_state.published().position();
         m_context.counters().add(metric::store_readings_refused);
         m_log.line("listing_refused").add("epoch", snapshot.value().epoch).add("revision", snapshot.value().revision).add("held_epoch", held.epoch).add("held", held.revision);
     }
-    // What is older than its peers' readings is asked again after a pause.
-    co_return taken;
+    // A listing older than the state from peers is repeated after a pause.
+    co_return applied;
 }
 
 awaitable<bool> store_follower::watchOnce()
@@ -120,41 +121,41 @@
     const instant askedAt = m_context.now();
     m_context.counters().add(metric::platform_reads);
     const store_position from = m_state.published().position();
-    // A store that fell silent answers no reading from before its return: one that need not wait
-    // for a change is given up sooner. Found within 1.1 s of the return (2.4 s with the full wait).
-    const milliseconds wait = m_state.sourceLost() ? milliseconds(0) : m_wait;
+    // A store that was unavailable never answers a call that was sent before its return. A watch that
+    // does not wait for changes times out sooner, so the return is found within 1.1 s instead of 2.4 s.
+    const milliseconds wait = m_state.storeUnavailable() ? milliseconds(0) : m_wait;
     const auto update = co_await m_source.watch(from.revision, wait);
     if (!update) {
-        m_state.noteSourceLost(update.error().message);
+        m_state.recordStoreUnavailable(update.error().message);
         co_return false;
     }
-    m_state.noteSourceRegained();
-    noteEpoch({ update.value().epoch, update.value().revision });
-    // A restored store may have the revision that was asked from, in another history: what it
-    // gives after that joins nothing.
+    m_state.recordStoreAvailable();
+    recordEpoch({ update.value().epoch, update.value().revision });
+    // A restored store may have the requested revision in another history, so the changes after it
+    // cannot be applied to the current state.
     const bool restored = update.value().epoch > from.epoch;
     if (update.value().historyLost || restored) {
-        m_log.line("history_lost").add("epoch", from.epoch).add("revision", from.revision).add("restored", static_cast<int>(restored)).add("outcome", "reading everything anew");
-        m_needAll = true;
-        m_mayLeaveListing = restored;
-        // Without a pause, unless the listing before did not help.
+        m_log.line("history_lost").add("epoch", from.epoch).add("revision", from.revision).add("restored", static_cast<int>(restored)).add("outcome", "listing everything again");
+        m_needFullListing = true;
+        m_mayAwaitPeers = restored;
+        // Lists without a pause, unless the previous listing did not help.
         co_return std::exchange(m_watched, false);
     }
     if (update.value().epoch < from.epoch)
         co_return false;
     m_watched = true;
-    m_state.take(update.value(), from, askedAt);
-    announceNews();
+    m_state.applyUpdate(update.value(), from, askedAt);
+    notifyUpdate();
     co_return true;
 }
 
-void store_follower::announceNews()
+void store_follower::notifyUpdate()
 {
-    if (m_onNews)
-        m_onNews();
+    if (m_onUpdate)
+        m_onUpdate();
 }
 
-void store_follower::noteEpoch(store_position read)
+void store_follower::recordEpoch(store_position read)
 {
     if (m_epoch == read.epoch)
         return;
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -11,29 +11,30 @@
 
 namespace {
 
-    // A repeatable plain request that has not been answered for so many times its target is
-    // tried elsewhere.
-    constexpr int silentTargets = 3;
-    // Within this after its start a process hears of the groups that have agents, also where all
+    // A repeatable plain request without an answer after so many times its latency target is retried
+    // at another server.
+    constexpr int maxSilentTargets = 3;
+    // Time after its start within which a process learns of all groups that have agents, even if all
     // machines start together.
-    constexpr milliseconds firstNews { 3'000 };
-    // Where agents tell of groups a process hears of them so soon after its start.
-    constexpr milliseconds firstGroupNews { 800 };
-    // Below this no server can do anything for the caller.
-    constexpr milliseconds leastTimeLeft { 20 };
+    constexpr milliseconds groupDiscoveryTime { 3'000 };
+    // Time after its start within which a process receives the first reports of groups that are
+    // already running.
+    constexpr milliseconds firstGroupReportTime { 800 };
+    // With less time left no server can answer the caller in time.
+    constexpr milliseconds minTimeLeft { 20 };
     constexpr milliseconds groupPoll { 20 };
-    // A server that says nothing for so long may have crashed without a word; other gaps last up to
-    // half a second.
+    // A server that sends nothing for so long may have crashed silently; other gaps last up to half a
+    // second.
     constexpr milliseconds longSilence { 1'000 };
     constexpr milliseconds fullRetryAfter { 200 };
 
-    // Longest body of a refusal that is read for the sake of keeping the connection.
-    constexpr std::size_t longestDroppedBody = 65'536;
+    // Longest body of a refusal that is read in order to keep the connection.
+    constexpr std::size_t maxDiscardedBody = 65'536;
 
-    // Reads an answer that nobody wants; if that fails the connection is closed.
-    awaitable<void> drop(http_call& call)
+    // Reads and discards an answer's body; closes the connection if that fails.
+    awaitable<void> discardBody(http_call& call)
     {
-        const auto body = co_await call.readAll(longestDroppedBody);
+        const auto body = co_await call.readAll(maxDiscardedBody);
         if (!body)
             call.cancel();
     }
@@ -51,19 +52,19 @@
     , m_backpressure(backpressure)
     , m_client(context, serverConnectTimeout)
     , m_crashes(context, log, state, history, codec.makePing())
-    , m_places(context, state, loads, groups, backpressure)
+    , m_slots(context, state, loads, groups, backpressure)
     , m_picker(context, log, state, loads, groups, backpressure)
     , m_budget(bounds, context.startedAt())
 {
-    m_history.onChange([this](request_fingerprint request) { takeBackCopies(request); });
+    m_history.onChange([this](request_fingerprint request) { withdrawCopies(request); });
 }
 
 awaitable<void> upstream_dispatcher::dispatch(http_exchange& exchange, const admitted_request& request)
 {
     m_budget.noteRequest(request.service, m_context.now());
     progress state;
-    state.fingerprint = fingerprintOf(exchange.request().method_string(), exchange.request().target(), request.said.key, exchange.request().body());
-    state.relay.lastEventId = request.said.lastEventId;
+    state.fingerprint = fingerprintOf(exchange.request().method_string(), exchange.request().target(), request.parsed.key, exchange.request().body());
+    state.relay.lastEventId = request.parsed.lastEventId;
     auto failed = co_await run(exchange, request, state);
     m_context.counters().observe(latency::request, m_context.now() - request.receivedAt);
     if (failed)
@@ -77,7 +78,7 @@
     std::optional<try_outcome> last;
     for (;;) {
         const instant now = m_context.now();
-        if (request.timeLeft(now) < leastTimeLeft) {
+        if (request.timeLeft(now) < minTimeLeft) {
             failure late { state.worst, failure_reason::deadline, "the deadline has passed", std::nullopt };
             if (late.ran == verdict::not_run) {
                 late.reason = failure_reason::no_backend;
@@ -85,174 +86,174 @@
             }
             co_return late;
         }
-        if (last && !mayRepeat(request, state, *last))
+        if (last && !mayRetry(request, state, *last))
             co_return last->failed;
-        if (auto refused = co_await refusalOf(exchange, request, state))
+        if (auto refused = co_await checkCrashHistory(exchange, request, state))
             co_return refused;
-        if (auto closed = co_await awaitGroup(exchange, request, state))
+        if (auto closed = co_await awaitOpenGroup(exchange, request, state))
             co_return closed;
         if (exchange.callerGone())
             co_return std::nullopt;
-        if (auto refused = m_picker.allBackOff(request)) {
+        if (auto refused = m_picker.backoffFailure(request)) {
             refused->ran = state.worst;
             co_return refused;
         }
-        const auto place = co_await m_places.take(exchange, request, state.relay.begun, last.has_value());
+        const auto slot = co_await m_slots.acquire(exchange, request, state.relay.begun, last.has_value());
         if (exchange.callerGone())
             co_return std::nullopt;
-        if (!place)
-            co_return failure { state.worst, place.error().reason, place.error().message, place.error().retryAfter };
-        // The news may have come while it waited.
-        if (auto refused = co_await refusalOf(exchange, request, state))
+        if (!slot)
+            co_return failure { state.worst, slot.error().reason, slot.error().message, slot.error().retryAfter };
+        // A crash may have become known during the wait.
+        if (auto refused = co_await checkCrashHistory(exchange, request, state))
             co_return refused;
         if (exchange.callerGone())
             co_return std::nullopt;
-        if (last && !takeRetry(request, *last))
+        if (last && !consumeRetry(request, *last))
             co_return last->failed;
-        const std::string id = co_await m_picker.take(exchange, request, state.tried);
+        const std::string id = co_await m_picker.pick(exchange, request, state.attempted);
         if (exchange.callerGone())
             co_return std::nullopt;
         if (id.empty()) {
             if (last)
                 co_return last->failed;
-            co_return m_picker.none(request);
+            co_return m_picker.unavailableFailure(request);
         }
         const listed_backend backend = *m_state.backends().find(id);
-        state.tried.all.push_back(id);
+        state.attempted.all.push_back(id);
         state.lastBackend = id;
-        last = co_await tryOn(exchange, request, state, backend);
+        last = co_await sendAttempt(exchange, request, state, backend);
         if (!last->failed)
             co_return std::nullopt;
         if (last->result == try_result::silent || last->result == try_result::unreachable)
-            state.tried.silent.push_back(id);
-        // Once a try may have run, so may the request: a later refusal cannot take it back.
+            state.attempted.silent.push_back(id);
+        // Once an attempt may have run, so may the request, whatever the outcome of later attempts.
         state.worst = std::max(state.worst, last->failed->ran);
         last->failed->ran = state.worst;
-        if (mustAwaitLook(request, *last))
-            co_await m_crashes.awaitLook(backend);
+        if (mustAwaitProbe(request, *last))
+            co_await m_crashes.awaitProbe(backend);
         if (exchange.callerGone())
             co_return std::nullopt;
     }
 }
 
-// The caller is told at once and truthfully: it has not run here and is not going to. Where nobody
-// keeps such a request from the servers it ends one after the other, and hardly anything else is
-// served. Whoever ran on one of many servers that crashed together waits for what acquits it: a
-// refusal would send it away for a minute.
-awaitable<std::optional<failure>> upstream_dispatcher::refusalOf(http_exchange& exchange, const admitted_request& request, const progress& state)
+// A blocked or suspected request is refused at once, with the truth that it will not run here.
+// Without this check such a request crashes one server after the other, and hardly anything else is
+// served. A request that ran on one of many servers that crashed together is held until it is
+// cleared: a refusal would send its caller away for a minute.
+awaitable<std::optional<failure>> upstream_dispatcher::checkCrashHistory(http_exchange& exchange, const admitted_request& request, const progress& state)
 {
     if (const auto until = m_history.undecidedUntil(state.fingerprint, m_context.now())) {
         std::function<bool()> undecided = [this, &state] { return m_history.undecidedUntil(state.fingerprint, m_context.now()).has_value(); };
-        co_await holdCaller(m_context, exchange, std::move(undecided), std::min(*until, request.deadline), groupPoll);
+        co_await waitWhile(m_context, exchange, std::move(undecided), std::min(*until, request.deadline), groupPoll);
     }
     auto refused = m_history.refuse({ state.fingerprint, closesGroup(request), state.runs > 0 }, m_context.now());
-    const auto whyNot = refused ? std::string_view() : m_history.whyLetThrough(state.fingerprint, m_context.now());
+    const auto clearedBy = refused ? std::string_view() : m_history.whyLetThrough(state.fingerprint, m_context.now());
     if (refused)
         refused->ran = state.worst;
-    else if (!whyNot.empty())
-        m_log.requestLine("suspicion_lifted").add("request", request.said.id).add("fingerprint", toString(state.fingerprint)).add("reason", std::string(whyNot));
+    else if (!clearedBy.empty())
+        m_log.requestLine("suspicion_lifted").add("request", request.parsed.id).add("fingerprint", toString(state.fingerprint)).add("reason", std::string(clearedBy));
     co_return refused;
 }
 
-// After a start of all no group is open: requests that are sent before the first news of that are
-// refused, and their first try is gone.
-bool upstream_dispatcher::noGroupFor(const admitted_request& request) const
+// After a start of the whole fleet no group is open: requests sent before the first report of that
+// would be refused and lose their first attempt.
+bool upstream_dispatcher::noGroupOpenFor(const admitted_request& request) const
 {
     if (!request.costs)
         return false;
     const instant now = m_context.now();
-    const bool awaitsNews = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupNews && !m_groups.heardOf(request.service, now);
+    const bool awaitsNews = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupReportTime && !m_groups.heardOf(request.service, now);
     return awaitsNews || m_groups.closed(request.service, now);
 }
 
-awaitable<std::optional<failure>> upstream_dispatcher::awaitGroup(http_exchange& exchange, const admitted_request& request, const progress& state)
+awaitable<std::optional<failure>> upstream_dispatcher::awaitOpenGroup(http_exchange& exchange, const admitted_request& request, const progress& state)
 {
-    if (!noGroupFor(request))
+    if (!noGroupOpenFor(request))
         co_return std::nullopt;
     group_wait_question question;
     question.timeLeft = request.timeLeft(m_context.now());
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.waited = request.waited(m_context.now());
-    question.run = m_places.usualRun(request.service);
+    question.run = m_slots.typicalRun(request.service);
     question.closedFor = m_groups.closedFor(request.service, m_context.now());
     group_wait_decision decision = decideGroupWait(question);
-    // The caller of a begun stream has been waiting since its last event.
+    // The caller of an interrupted stream has been waiting since its last event.
     if (state.relay.begun)
         decision.wait = resumeWait;
-    std::function<bool()> missing = [this, &request] { return noGroupFor(request); };
-    co_await holdCaller(m_context, exchange, std::move(missing), m_context.now() + decision.wait, groupPoll);
-    if (exchange.callerGone() || !noGroupFor(request))
+    std::function<bool()> missing = [this, &request] { return noGroupOpenFor(request); };
+    co_await waitWhile(m_context, exchange, std::move(missing), m_context.now() + decision.wait, groupPoll);
+    if (exchange.callerGone() || !noGroupOpenFor(request))
         co_return std::nullopt;
     co_return failure { state.worst, failure_reason::no_backend, "no expert group of the service has been open for " + std::to_string(m_groups.closedFor(request.service, m_context.now()).count()) + " ms", decision.retryAfter };
 }
 
-void upstream_dispatcher::setSharers(std::size_t entries, std::size_t mostEntries)
+void upstream_dispatcher::setEntryCounts(std::size_t entries, std::size_t mostEntries)
 {
-    m_places.setEntries(entries);
+    m_slots.setEntries(entries);
     m_budget.setSharers(mostEntries);
 }
 
-void upstream_dispatcher::noteRestart(const listed_backend& backend)
+void upstream_dispatcher::handleRestart(const listed_backend& backend)
 {
     m_client.forgetIdle(backend.address);
     m_backpressure.forget(backendHash(backend.id), m_context.now());
-    const std::size_t ended = m_calls.end(backend.id);
+    const std::size_t ended = m_calls.cancelAll(backend.id);
     if (ended > 0)
-        m_log.line("calls_ended").add("backend", backend.id).add("calls", ended).add("reason", "the server was started again");
+        m_log.line("calls_ended").add("backend", backend.id).add("calls", ended).add("reason", "the server was restarted");
 }
 
-bool upstream_dispatcher::mayRepeat(const admitted_request& request, const progress& state, const try_outcome& last)
+bool upstream_dispatcher::mayRetry(const admitted_request& request, const progress& state, const try_outcome& last)
 {
     const bool resumable = request.route.repeat == repeat_rule::streaming && request.route.resumable;
-    return mayTryAgain({ last.failed->ran, request.route.repeatable(), resumable, request.route.maxAttempts, state.runs, state.tried.all.size(), state.relay.begun });
+    return mayTryAgain({ last.failed->ran, request.route.repeatable(), resumable, request.route.maxAttempts, state.runs, state.attempted.all.size(), state.relay.begun });
 }
 
-bool upstream_dispatcher::takeRetry(const admitted_request& request, const try_outcome& last)
+bool upstream_dispatcher::consumeRetry(const admitted_request& request, const try_outcome& last)
 {
     if (last.result == try_result::unreachable)
         return true;
     if (!m_budget.take(request.service, m_context.now())) {
-        m_log.requestLine("retry_denied").add("request", request.said.id).add("reason", "the shared retry budget is used up").add("service", request.service);
+        m_log.requestLine("retry_denied").add("request", request.parsed.id).add("reason", "the shared retry budget is used up").add("service", request.service);
         return false;
     }
     m_context.counters().add(metric::retries);
     return true;
 }
 
-// A rank that no leader has counted may belong to a group that this process never heard of;
-// but a process that has just started has heard of none, and a group that started with it is
-// still forming. A server that asks to back off speaks for itself: taken for a closed group it made
-// callers wait though other ranks had room.
-void upstream_dispatcher::noteRefusal(const admitted_request& request, const listed_backend& backend, const server_notice& notice)
+// A rank in no leader's report may belong to a group that this process does not know, so its refusal
+// is ignored, except soon after the start, when no group is known and one that started together with
+// this process is still forming. A server that asks to back off speaks only for itself: when that was
+// taken for a closed group, callers waited though other ranks had free slots.
+void upstream_dispatcher::recordRefusal(const admitted_request& request, const listed_backend& backend, const server_notice& notice)
 {
     if (notice.backoff)
         return;
-    const bool justStarted = m_context.now() - m_context.startedAt() < firstNews;
+    const bool justStarted = m_context.now() - m_context.startedAt() < groupDiscoveryTime;
     if (request.costs && (justStarted || m_loads.counted(backend.id)) && m_loads.total(backend.id, m_context.now()).requests <= backend.capacity)
         m_groups.noteRefusal(request.service, backendHash(backend.id), m_context.now());
 }
 
-// A silent try is given up only for another one.
-instant upstream_dispatcher::headDeadlineOf(const admitted_request& request, const progress& state, instant sentAt)
+// A silent attempt is given up early only if another one may follow.
+instant upstream_dispatcher::responseDeadline(const admitted_request& request, const progress& state, instant sentAt)
 {
-    const bool mayRepeat = request.route.repeatable() && state.runs + 1 < request.route.maxAttempts;
-    if (!mayRepeat || !m_budget.has(request.service, sentAt))
+    const bool mayRetry = request.route.repeatable() && state.runs + 1 < request.route.maxAttempts;
+    if (!mayRetry || !m_budget.has(request.service, sentAt))
         return request.deadline;
     if (request.route.repeat == repeat_rule::idempotent)
-        return std::min(request.deadline, sentAt + silentTargets * request.route.latencyTarget);
+        return std::min(request.deadline, sentAt + maxSilentTargets * request.route.latencyTarget);
     if (!request.costs || state.relay.begun)
         return request.deadline;
     first_event_question question;
-    question.usual = m_places.usualFirstEvent(request.service);
+    question.usual = m_slots.typicalFirstEvent(request.service);
     question.latencyTarget = request.route.latencyTarget;
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.waited = request.waited(sentAt);
-    question.busyPart = m_places.busyPart(request.service);
+    question.busyPart = m_slots.busyShare(request.service);
     const auto limit = firstEventLimit(question);
     return limit ? std::min(request.deadline, sentAt + *limit) : request.deadline;
 }
 
-awaitable<upstream_dispatcher::try_outcome> upstream_dispatcher::tryOn(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend)
+awaitable<upstream_dispatcher::try_outcome> upstream_dispatcher::sendAttempt(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend)
 {
     const instant sentAt = m_context.now();
     upstream_facts facts { backend.id, request.workspace, request.timeLeft(sentAt), state.relay.lastEventId, std::nullopt };
@@ -261,22 +262,22 @@
     call_registry::registration underWay(m_calls, backend.id, call, closesGroup(request) ? std::optional(state.fingerprint) : std::nullopt);
     if (request.route.repeat == repeat_rule::non_idempotent)
         call.useFreshConnection();
-    std::int64_t unread = request.said.promptTokens;
+    std::int64_t unread = request.parsed.promptTokens;
     const std::uint64_t eventsBefore = state.relay.events;
-    const bool isTrial = m_history.beginTrial(state.fingerprint, sentAt);
+    const bool isIsolated = m_history.beginTrial(state.fingerprint, sentAt);
     m_loads.noteSent(backend.id, unread, sentAt);
 
-    const instant headDeadline = headDeadlineOf(request, state, sentAt);
-    auto head = co_await call.start(backend.address, m_codec.makeUpstream(exchange.request(), request.said, facts), headDeadline);
+    const instant headDeadline = responseDeadline(request, state, sentAt);
+    auto head = co_await call.start(backend.address, m_codec.makeUpstream(exchange.request(), request.parsed, facts), headDeadline);
     try_outcome outcome;
     state.notice = {};
     if (head) {
-        state.notice = m_codec.notice(head.value());
-        outcome = co_await takeReply(exchange, request, state, backend, underWay, std::move(head.value()), sentAt, unread);
+        state.notice = m_codec.readNotice(head.value());
+        outcome = co_await processReply(exchange, request, state, backend, underWay, std::move(head.value()), sentAt, unread);
     } else {
         outcome.failed = head.error();
         if (call.refused())
-            m_crashes.noteRefused(backend);
+            m_crashes.recordRefusedConnection(backend);
         const bool unreachable = head.error().ran == verdict::not_run;
         outcome.result = unreachable ? try_result::unreachable : head.error().reason == failure_reason::deadline ? try_result::silent
                                                                                                                  : try_result::failed;
@@ -284,38 +285,38 @@
     }
     m_loads.noteEnded(backend.id, unread);
     const bool isSent = !outcome.failed || outcome.failed->ran != verdict::not_run;
-    if (underWay.takenBack() && outcome.failed)
+    if (underWay.withdrawn() && outcome.failed)
         outcome = { mayHaveRun(failure_reason::crashes_servers, "a server crashed under a copy of this request"), try_result::failed };
     if (outcome.result == try_result::answered && !exchange.callerGone())
-        m_crashes.noteServed(state.fingerprint);
+        m_crashes.recordServed(state.fingerprint);
     if (request.costs && outcome.result == try_result::answered && !exchange.callerGone())
-        m_places.noteEnd(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
-    if (!exchange.callerGone() && !underWay.ended() && !underWay.takenBack()) {
+        m_slots.recordCompletion(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
+    if (!exchange.callerGone() && !underWay.cancelled() && !underWay.withdrawn()) {
         m_state.backends().noteResult(backend.id, outcome.result, m_context.now());
         m_groups.noteReach(request.service, backendHash(backend.id), outcome.result != try_result::unreachable, m_context.now());
     }
     const duration silence = m_context.now() - std::max(sentAt, state.relay.newestBytesAt);
-    const lost_call lost { request.said.id, state.fingerprint, state.relay.events - eventsBefore, sentAt, m_context.now() };
+    const lost_call lost { request.parsed.id, state.fingerprint, state.relay.events - eventsBefore, sentAt, m_context.now() };
     if (exchange.callerGone() ? silence >= longSilence : endedByServer(outcome))
-        m_crashes.noteLost(backend, lost);
-    else if (isSent && lost.events == 0 && (exchange.callerGone() || underWay.takenBack()))
-        m_crashes.noteWithdrawn(backend, lost);
-    if (isTrial)
+        m_crashes.recordLostCall(backend, lost);
+    else if (isSent && lost.events == 0 && (exchange.callerGone() || underWay.withdrawn()))
+        m_crashes.recordWithdrawnCall(backend, lost);
+    if (isIsolated)
         m_history.endTrial(state.fingerprint, endedByServer(outcome), m_context.now());
-    logTry(request, state, backend, outcome, sentAt);
+    logAttempt(request, state, backend, outcome, sentAt);
     co_return outcome;
 }
 
-awaitable<upstream_dispatcher::try_outcome> upstream_dispatcher::takeReply(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend, call_registry::registration& underWay, http_head head, instant sentAt, std::int64_t& unread)
+awaitable<upstream_dispatcher::try_outcome> upstream_dispatcher::processReply(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend, call_registry::registration& underWay, http_head head, instant sentAt, std::int64_t& unread)
 {
     http_call& call = underWay.call();
-    const reply_verdict reply = m_codec.judge(head, request.said);
-    m_picker.takeNotice(backend, reply.kind, state.notice);
+    const reply_verdict reply = m_codec.classify(head, request.parsed);
+    m_picker.applyNotice(backend, reply.kind, state.notice);
     if (reply.kind == reply_kind::not_executed || reply.kind == reply_kind::wrong_server) {
-        co_await drop(call);
+        co_await discardBody(call);
         const bool replaced = reply.kind == reply_kind::wrong_server;
         if (!replaced)
-            noteRefusal(request, backend, state.notice);
+            recordRefusal(request, backend, state.notice);
         co_return try_outcome { notRun(failure_reason::queue_full, reply.reason, fullRetryAfter), replaced ? try_result::replaced : try_result::refused };
     }
     ++state.runs;
@@ -329,26 +330,26 @@
     options.wholeEvents = true;
     options.bufferUnframed = true;
     options.deadline = request.deadline;
-    const bool mayGoOnElsewhere = request.route.resumable && state.runs < request.route.maxAttempts && m_budget.has(request.service, sentAt);
-    if (streams && mayGoOnElsewhere)
+    const bool mayResumeElsewhere = request.route.resumable && state.runs < request.route.maxAttempts && m_budget.has(request.service, sentAt);
+    if (streams && mayResumeElsewhere)
         options.silenceLimit = streamSilenceLimit(m_groups.openElsewhere(request.service, backendHash(backend.id), sentAt));
     options.onFirstBytes = [&, sentAt] {
-        underWay.noteBegun();
-        m_crashes.noteAnswered(backend, sentAt);
+        underWay.recordFirstBytes();
+        m_crashes.recordAnswer(backend, sentAt);
         m_context.counters().observe(latency::first_byte, m_context.now() - request.receivedAt);
-        m_places.noteFirstEvent(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
+        m_slots.recordFirstEvent(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
         m_loads.noteBegun(backend.id, unread);
         unread = 0;
     };
     const bool serverFailed = head.result_int() >= 500;
     if (state.relay.begun && serverFailed) {
         call.cancel();
-        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine that should go on answered " + std::to_string(head.result_int())), try_result::failed };
+        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine that was to resume the stream answered " + std::to_string(head.result_int())), try_result::failed };
     }
-    // An engine's failure of a repeatable request may be mended by another engine.
-    const bool mend = serverFailed && request.route.repeatable() && state.runs < request.route.maxAttempts && request.timeLeft(m_context.now()) > request.route.latencyTarget;
-    if (mend) {
-        co_await drop(call);
+    // If an engine fails a repeatable request, another engine may answer it.
+    const bool retryElsewhere = serverFailed && request.route.repeatable() && state.runs < request.route.maxAttempts && request.timeLeft(m_context.now()) > request.route.latencyTarget;
+    if (retryElsewhere) {
+        co_await discardBody(call);
         co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine answered " + std::to_string(head.result_int())), try_result::failed };
     }
     auto relayed = co_await relayAnswer(call, std::move(head), exchange, state.relay, options);
@@ -369,28 +370,28 @@
     return request.costs && request.costs->layerSets > 0;
 }
 
-// News of the first crash mostly come before the copy at another group has ended its server: the
-// copy can be saved, and that group with it.
-void upstream_dispatcher::takeBackCopies(request_fingerprint request)
+// The first crash mostly becomes known before a copy at another group has crashed its server, so
+// withdrawing the copy saves that group.
+void upstream_dispatcher::withdrawCopies(request_fingerprint request)
 {
     if (!m_history.isPutOff(request, m_context.now()))
         return;
-    const std::size_t taken = m_calls.takeBack(request);
-    if (taken > 0)
-        m_log.line("calls_taken_back").add("fingerprint", toString(request)).add("calls", taken).add("reason", "a server crashed under a copy of the request");
+    const std::size_t withdrawn = m_calls.withdraw(request);
+    if (withdrawn > 0)
+        m_log.line("calls_taken_back").add("fingerprint", toString(request)).add("calls", withdrawn).add("reason", "a server crashed under a copy of the request");
 }
 
-// Sent in the moment in which the call ends, the other try would be at the next group before the
-// crash of the first server is known, and would close that as well.
-bool upstream_dispatcher::mustAwaitLook(const admitted_request& request, const try_outcome& last)
+// A retry sent right when the call ends would reach the next group before the crash of the first
+// server is known, and would close that group as well.
+bool upstream_dispatcher::mustAwaitProbe(const admitted_request& request, const try_outcome& last)
 {
     return closesGroup(request) && last.result != try_result::silent && endedByServer(last);
 }
 
-void upstream_dispatcher::logTry(const admitted_request& request, const progress& state, const listed_backend& backend, const try_outcome& outcome, instant sentAt)
+void upstream_dispatcher::logAttempt(const admitted_request& request, const progress& state, const listed_backend& backend, const try_outcome& outcome, instant sentAt)
 {
     auto line = m_log.requestLine("try_ended");
-    line.add("request", request.said.id).add("fingerprint", toString(state.fingerprint)).add("backend", backend.id).add("address", backend.address).add("try", state.tried.all.size());
+    line.add("request", request.parsed.id).add("fingerprint", toString(state.fingerprint)).add("backend", backend.id).add("address", backend.address).add("try", state.attempted.all.size());
     line.add("waited_ms", sentAt - request.receivedAt).add("took_ms", m_context.now() - sentAt).add("load", m_loads.total(backend.id, m_context.now()).requests).add("events", state.relay.events);
     if (const auto age = m_groups.newsAge(request.service, backendHash(backend.id), m_context.now()))
         line.add("group_news_ms", *age);
@@ -412,8 +413,8 @@
 {
     m_context.counters().countFailure(failed);
     auto line = m_log.requestLine("request_failed");
-    line.add("request", request.said.id).add("fingerprint", toString(state.fingerprint)).add("route", request.route.name).add("service", request.service).add("age_ms", m_context.now() - request.receivedAt);
-    line.add("tries", state.tried.all.size()).add("verdict", toString(failed.ran)).add("reason", toString(failed.reason)).add("detail", failed.message);
+    line.add("request", request.parsed.id).add("fingerprint", toString(state.fingerprint)).add("route", request.route.name).add("service", request.service).add("age_ms", m_context.now() - request.receivedAt);
+    line.add("tries", state.attempted.all.size()).add("verdict", toString(failed.ran)).add("reason", toString(failed.reason)).add("detail", failed.message);
     line.add("version", m_state.configuration() ? m_state.configuration()->version() : 0);
     if (exchange.callerGone())
         co_return;
@@ -421,7 +422,7 @@
         exchange.abort();
         co_return;
     }
-    co_await exchange.send(m_codec.refuse(failed, request.said.id));
+    co_await exchange.send(m_codec.makeRefusal(failed, request.parsed.id));
 }
 
 } // namespace rampgap
--- a/Source/gateway/upstream_dispatcher.h
+++ b/Source/gateway/upstream_dispatcher.h
@@ -1,4 +1,4 @@
-// Carries one request to a backend server and its answer back; tries again where safe.
+// Sends requests to backend servers and relays their answers; retries where that is safe.
 #pragma once
 
 #include "daemon/answer_relay.h"
@@ -16,64 +16,66 @@
 public:
     upstream_dispatcher(process_context&, decision_log&, const request_codec&, fleet_state&, load_board&, group_board&, crash_history&, server_backpressure&, retry_bounds);
 
-    // Answers the exchange, whatever happens.
+    // Always completes the exchange, with an answer or a refusal.
     awaitable<void> dispatch(http_exchange&, const admitted_request&);
-    // `entries`: entry VMs at work; `mostEntries`: those that may share the retry budget.
-    void setSharers(std::size_t entries, std::size_t mostEntries);
+    // `entries`: active entry VMs; `mostEntries`: those that may share the retry budget.
+    void setEntryCounts(std::size_t entries, std::size_t mostEntries);
 
-    // The server was started again under its id: what it had taken is lost.
-    void noteRestart(const listed_backend&);
-    // Called when there are news of crashed servers for the fleet.
-    void onCrash(std::function<void()> action) { m_crashes.onNews(std::move(action)); }
-    // Periodic work.
-    void settle() { m_crashes.settle(); }
+    // The server was restarted under its id and has lost the calls it was running.
+    void handleRestart(const listed_backend&);
+    // Called when there are new crash records for the fleet.
+    void onCrash(std::function<void()> action) { m_crashes.onUpdate(std::move(action)); }
+    // Periodic work: updates what is known of crashes.
+    void runPeriodicWork() { m_crashes.runPeriodicWork(); }
 
 private:
-    // How far one request has come.
+    // State of one request across its attempts.
     struct progress {
         request_fingerprint fingerprint;
-        tried_servers tried;
-        // Tries that a server may have run.
+        attempted_servers attempted;
+        // Attempts that a server may have run.
         int runs = 0;
         relay_progress relay;
         verdict worst = verdict::not_run;
         std::string lastBackend;
-        // What the last server said of itself.
+        // What the server of the last attempt reported about itself.
         server_notice notice;
     };
-    // How one try ended; without a failure the caller has its answer or is gone.
+    // How one attempt ended; without a failure the caller has its answer or has disconnected.
     struct try_outcome {
         std::optional<failure> failed;
         try_result result = try_result::answered;
     };
 
-    // No group of its service is open, or a process that has just started has heard of none yet.
-    bool noGroupFor(const admitted_request&) const;
-    // Waits while the service's expert group is closed, as far as that serves the caller.
-    awaitable<std::optional<failure>> awaitGroup(http_exchange&, const admitted_request&, const progress&);
-    // Set if no server may run the request now, since some crashed under it. Waits where that will
-    // be known in a moment.
-    awaitable<std::optional<failure>> refusalOf(http_exchange&, const admitted_request&, const progress&);
+    // True if no group of the service is open, or if this process has just started and does not know
+    // of any group yet.
+    bool noGroupOpenFor(const admitted_request&) const;
+    // Waits while no expert group of the service is open, for as long as that is of use to the caller.
+    awaitable<std::optional<failure>> awaitOpenGroup(http_exchange&, const admitted_request&, const progress&);
+    // Returns a failure if the request must not be sent to any server now, since servers crashed while
+    // running it. Waits briefly while this is still undecided.
+    awaitable<std::optional<failure>> checkCrashHistory(http_exchange&, const admitted_request&, const progress&);
     awaitable<std::optional<failure>> run(http_exchange&, const admitted_request&, progress&);
-    awaitable<try_outcome> tryOn(http_exchange&, const admitted_request&, progress&, const listed_backend&);
-    awaitable<try_outcome> takeReply(http_exchange&, const admitted_request&, progress&, const listed_backend&, call_registry::registration&, http_head, instant sentAt, std::int64_t& unread);
-    // Until when a try may stay without an answer.
-    instant headDeadlineOf(const admitted_request&, const progress&, instant sentAt);
-    // Whether another try is safe and within the route's limit, whatever the budget says.
-    static bool mayRepeat(const admitted_request&, const progress&, const try_outcome&);
-    // Takes the other try from the shared budget.
-    bool takeRetry(const admitted_request&, const try_outcome&);
-    // The server broke off the call that it had taken, or said nothing for too long.
+    awaitable<try_outcome> sendAttempt(http_exchange&, const admitted_request&, progress&, const listed_backend&);
+    awaitable<try_outcome> processReply(http_exchange&, const admitted_request&, progress&, const listed_backend&, call_registry::registration&, http_head, instant sentAt, std::int64_t& unread);
+    // Until when an attempt may stay without an answer.
+    instant responseDeadline(const admitted_request&, const progress&, instant sentAt);
+    // Whether a retry is safe and within the route's limit; does not check the retry budget.
+    static bool mayRetry(const admitted_request&, const progress&, const try_outcome&);
+    // Takes a retry from the shared budget; false if it is used up.
+    bool consumeRetry(const admitted_request&, const try_outcome&);
+    // The server broke off the call or was silent for too long.
     static bool endedByServer(const try_outcome&);
-    // Another try of a call that its server broke off waits for that: its crash puts the request off.
-    static bool mustAwaitLook(const admitted_request&, const try_outcome&);
+    // A retry of a call that its server broke off first waits for the probe of that server: if it
+    // crashed, the request becomes suspected.
+    static bool mustAwaitProbe(const admitted_request&, const try_outcome&);
     static bool closesGroup(const admitted_request&);
-    // Copies that have not begun are taken back from other servers once one has crashed.
-    void takeBackCopies(request_fingerprint);
-    // A server with room that refuses belongs to a group that has closed, unless it asks to back off.
-    void noteRefusal(const admitted_request&, const listed_backend&, const server_notice&);
+    // Withdraws copies of the request that have not begun from other servers once one has crashed.
+    void withdrawCopies(request_fingerprint);
+    // A refusal by a server with free slots shows that its group has closed, unless it asks to back off.
+    void recordRefusal(const admitted_request&, const listed_backend&, const server_notice&);
     awaitable<void> refuse(http_exchange&, const admitted_request&, const progress&, failure);
-    void logTry(const admitted_request&, const progress&, const listed_backend&, const try_outcome&, instant sentAt);
+    void logAttempt(const admitted_request&, const progress&, const listed_backend&, const try_outcome&, instant sentAt);
 
     process_context& m_context;
     decision_log& m_log;
@@ -86,7 +88,7 @@
     http_client m_client;
     call_registry m_calls;
     crash_reporter m_crashes;
-    place_giver m_places;
+    place_giver m_slots;
     upstream_picker m_picker;
     shared_retry_budget m_budget;
 };
--- a/Source/gateway/upstream_picker.cpp
+++ b/Source/gateway/upstream_picker.cpp
@@ -10,10 +10,10 @@
 
     constexpr milliseconds noBackendRetryAfter { 300 };
     // The arbiter of a server's limit answers within a round trip or two between zones.
-    constexpr milliseconds longestGrantWait { 60 };
+    constexpr milliseconds maxGrantWait { 60 };
     constexpr milliseconds grantPoll { 5 };
-    // Over so long those come back whom all servers asked to back off.
-    constexpr milliseconds returnSpread { 300 };
+    // Random delay added to the backoff, so that callers do not all retry at once.
+    constexpr milliseconds retryJitter { 300 };
 
 } // namespace
 
@@ -27,27 +27,27 @@
 {
 }
 
-std::string upstream_picker::choose(const admitted_request& request, const tried_servers& tried) const
+std::string upstream_picker::choose(const admitted_request& request, const attempted_servers& attempted) const
 {
     const instant now = m_context.now();
-    const upstream_question question { request.service, request.costs, request.said.promptTokens, tried.all, tried.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
+    const upstream_question question { request.service, request.costs, request.parsed.promptTokens, attempted.all, attempted.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
     return m_choice.choose(question, m_state.backends(), m_loads, m_groups, m_backpressure, m_context.random());
 }
 
-// A grant may be used by another request while this one is held: whoever finds a server takes it
-// in the same step.
-awaitable<std::string> upstream_picker::take(http_exchange& exchange, const admitted_request& request, const tried_servers& tried)
+// Another request may use a grant while this one waits, so the grant is consumed without suspension
+// after the server is chosen.
+awaitable<std::string> upstream_picker::pick(http_exchange& exchange, const admitted_request& request, const attempted_servers& attempted)
 {
     std::vector<server_hash> servers;
     if (m_backpressure.limits.any())
         servers = serversOf(request.service);
     m_backpressure.limits.want(request.service, servers, request.priority, m_context.now());
-    const instant until = m_context.now() + longestGrantWait;
-    std::string id = choose(request, tried);
-    while (id.empty() && m_context.now() < until && awaitsGrant(servers) && !exchange.callerGone()) {
-        std::function<bool()> missing = [this, &servers] { return awaitsGrant(servers); };
-        co_await holdCaller(m_context, exchange, std::move(missing), until, grantPoll);
-        id = choose(request, tried);
+    const instant until = m_context.now() + maxGrantWait;
+    std::string id = choose(request, attempted);
+    while (id.empty() && m_context.now() < until && isAwaitingGrant(servers) && !exchange.callerGone()) {
+        std::function<bool()> missing = [this, &servers] { return isAwaitingGrant(servers); };
+        co_await waitWhile(m_context, exchange, std::move(missing), until, grantPoll);
+        id = choose(request, attempted);
     }
     if (!id.empty())
         m_backpressure.use(backendHash(id), m_context.now());
@@ -62,14 +62,14 @@
     return servers;
 }
 
-bool upstream_picker::awaitsGrant(const std::vector<server_hash>& servers) const
+bool upstream_picker::isAwaitingGrant(const std::vector<server_hash>& servers) const
 {
     return std::any_of(servers.begin(), servers.end(), [&](server_hash server) { return m_backpressure.limits.awaitsAnswer(server, m_context.now()); });
 }
 
-// Nobody is held for servers that are known to take nothing. Callers who come back a little after
-// the first backoff, each at a moment of its own, do not meet there.
-std::optional<failure> upstream_picker::allBackOff(const admitted_request& request)
+// Callers are not held for servers that are known to accept nothing. They are told to retry shortly
+// after the first backoff ends, each with its own random delay, so that they do not arrive together.
+std::optional<failure> upstream_picker::backoffFailure(const admitted_request& request)
 {
     if (!m_backpressure.backoffs.any())
         return std::nullopt;
@@ -78,14 +78,14 @@
     if (!pause)
         return std::nullopt;
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_context.random());
-    const auto spread = std::chrono::duration_cast<milliseconds>(returnSpread * draw);
+    const auto spread = std::chrono::duration_cast<milliseconds>(retryJitter * draw);
     return notRun(failure_reason::queue_full, "all servers of the service asked to back off", *pause + spread);
 }
 
-// Callers who come back at moments of their own find what the servers take by then.
-failure upstream_picker::none(const admitted_request& request)
+// Refused callers are given random pauses, so that they retry one after the other as servers free up.
+failure upstream_picker::unavailableFailure(const admitted_request& request)
 {
-    if (auto refused = allBackOff(request))
+    if (auto refused = backoffFailure(request))
         return *refused;
     const instant now = m_context.now();
     const auto servers = serversOf(request.service);
@@ -94,11 +94,11 @@
         return notRun(failure_reason::no_backend, "no backend server is listed for the service", noBackendRetryAfter);
     m_backpressure.limits.noteUnserved(request.priority, now);
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_context.random());
-    return notRun(failure_reason::queue_full, "the service's servers take no more requests now", backlogPause(request.timeLeft(now), draw));
+    return notRun(failure_reason::queue_full, "the service's servers accept no more requests now", backlogPause(request.timeLeft(now), draw));
 }
 
-// Another server's words are not those of the one that was asked, nor are bytes that are no answer.
-void upstream_picker::takeNotice(const listed_backend& backend, reply_kind kind, const server_notice& notice)
+// The notice is ignored if the reply came from another server or was no answer.
+void upstream_picker::applyNotice(const listed_backend& backend, reply_kind kind, const server_notice& notice)
 {
     if (kind != reply_kind::answer && kind != reply_kind::not_executed)
         return;
--- a/Source/gateway/upstream_picker.h
+++ b/Source/gateway/upstream_picker.h
@@ -1,4 +1,4 @@
-// Picks the backend server for each try, by what the servers ask of whoever sends to them.
+// Picks the backend server for each attempt, within the limits and backoffs that servers ask for.
 #pragma once
 
 #include "daemon/decision_log.h"
@@ -12,10 +12,10 @@
 
 namespace rampgap {
 
-// Servers that a request has been at, by id.
-struct tried_servers {
+// Ids of the servers that a request was sent to.
+struct attempted_servers {
     std::vector<std::string> all;
-    // Of those, the ones that stayed silent or could not be reached.
+    // Those of them that stayed silent or could not be reached.
     std::vector<std::string> silent;
 };
 
@@ -23,20 +23,20 @@
 public:
     upstream_picker(process_context&, decision_log&, fleet_state&, load_board&, group_board&, server_backpressure&);
 
-    // The id of the server for the next try, with a grant where it has a limit; empty if there is
-    // none now. May wait a moment for a grant.
-    awaitable<std::string> take(http_exchange&, const admitted_request&, const tried_servers&);
-    // Set if each server of the request's service has asked this process to back off.
-    std::optional<failure> allBackOff(const admitted_request&);
-    // The refusal of a request for which there is no server.
-    failure none(const admitted_request&);
-    // Keeps what a server said of itself in its answer.
-    void takeNotice(const listed_backend&, reply_kind, const server_notice&);
+    // The id of the server for the next attempt, with a grant if it has a limit; empty if there is none
+    // now. May wait briefly for a grant.
+    awaitable<std::string> pick(http_exchange&, const admitted_request&, const attempted_servers&);
+    // Returns a failure if every server of the request's service has asked this process to back off.
+    std::optional<failure> backoffFailure(const admitted_request&);
+    // The failure of a request for which no server was found.
+    failure unavailableFailure(const admitted_request&);
+    // Applies what a server reported about itself in its answer.
+    void applyNotice(const listed_backend&, reply_kind, const server_notice&);
 
 private:
-    std::string choose(const admitted_request&, const tried_servers&) const;
-    // True while the answer to a question for a grant may bring a server.
-    bool awaitsGrant(const std::vector<server_hash>&) const;
+    std::string choose(const admitted_request&, const attempted_servers&) const;
+    // True while a pending query for a grant may still make one of these servers usable.
+    bool isAwaitingGrant(const std::vector<server_hash>&) const;
     std::vector<server_hash> serversOf(const std::string& service) const;
 
     process_context& m_context;
--- a/Tests/platform/crash-gossip/test.cpp
+++ b/Tests/platform/crash-gossip/test.cpp
@@ -97,7 +97,7 @@
 {
     for (const std::uint32_t server : { 10U, 11U })
         where.history.noteCrash(guilty, server, 0, boot_clock::now());
-    where.gossip.tell();
+    where.gossip.publish();
 }
 
 } // namespace
--- a/Tests/platform/limit-exchange/test.cpp
+++ b/Tests/platform/limit-exchange/test.cpp
@@ -96,7 +96,7 @@
     , peers({ name, "a", peer_role::entry, 1 }, {}, milliseconds(3'000))
     , exchange(context, log, limits, peers, *this)
 {
-    limits.onQuestions([this] { exchange.ask(); });
+    limits.onQuestions([this] { exchange.sendGrantQueries(); });
 }
 
 // With as much as a real one says of its sender.
@@ -123,10 +123,10 @@
     node& starts = *made.nodes[1];
     knows.limits.noteAnswer(server, 2.0, boot_clock::now());
     gateway::peer_datagram news;
-    knows.exchange.addNews(news);
+    knows.exchange.addUpdates(news);
     CHECK(news.limits_size() == 1);
     gateway::peer_datagram known;
-    knows.exchange.addKnown(known);
+    knows.exchange.addKnownLimits(known);
     starts.exchange.receive(known, knows.host);
     CHECK((starts.limits.limitOf(server, boot_clock::now()) == 2.0));
 }
--- a/Tests/platform/restarted-server/test.cpp
+++ b/Tests/platform/restarted-server/test.cpp
@@ -61,14 +61,14 @@
     call_registry::registration ofBegunCopy(calls, "b", begunCopy, suspected);
     const call_registry::registration ofOther(calls, "a", other, request_fingerprint { 2 });
     const call_registry::registration ofPlain(calls, "a", plain);
-    ofBegunCopy.noteBegun();
-    CHECK(calls.takeBack(suspected) == 1);
-    CHECK(calls.takeBack(suspected) == 0);
-    CHECK(ofCopy.takenBack());
-    CHECK_FALSE(ofBegunCopy.takenBack());
-    CHECK_FALSE(ofOther.takenBack());
-    CHECK_FALSE(ofPlain.takenBack());
-    CHECK_FALSE(ofCopy.ended());
+    ofBegunCopy.recordFirstBytes();
+    CHECK(calls.withdraw(suspected) == 1);
+    CHECK(calls.withdraw(suspected) == 0);
+    CHECK(ofCopy.withdrawn());
+    CHECK_FALSE(ofBegunCopy.withdrawn());
+    CHECK_FALSE(ofOther.withdrawn());
+    CHECK_FALSE(ofPlain.withdrawn());
+    CHECK_FALSE(ofCopy.cancelled());
 }
 
 TEST_CASE("calls at a server that was started again end at once, others go on")
@@ -96,11 +96,11 @@
         asio::detached);
     asio::co_spawn(context.io(), start(other, elsewhere.address(), longest, otherFailed), asio::detached);
     boot_timer restart(context.io(), milliseconds(20));
-    restart.async_wait([&](boost::system::error_code) { ended = calls.end("restarted"); });
+    restart.async_wait([&](boost::system::error_code) { ended = calls.cancelAll("restarted"); });
     context.io().run();
     CHECK(ended == 1);
-    CHECK(atRestarted.ended());
-    CHECK_FALSE(atOther.ended());
+    CHECK(atRestarted.cancelled());
+    CHECK_FALSE(atOther.cancelled());
     REQUIRE(lostFailed);
     CHECK((lostFailed->ran == verdict::may_have_run));
     CHECK(boot_clock::now() - began < longest / 2);
--- a/Tests/platform/restored-store/test.cpp
+++ b/Tests/platform/restored-store/test.cpp
@@ -27,7 +27,7 @@
 // How much longer than its wait the adapter gives a watch.
 constexpr milliseconds answerMargin { 1'000 };
 // Each of 390 VMs may ask five times a second; twice the bound, and one more for each of four writes.
-constexpr int mostReadings = 14;
+constexpr int maxReadings = 14;
 
 std::string configuration(int version)
 {
@@ -53,22 +53,22 @@
 
     void put(const std::string& key, const std::string& value)
     {
-        const store_revision revision = ++m_held.revision;
-        const auto before = m_held.items.find(key);
-        const published_item item { key, value, revision, before == m_held.items.end() ? revision : before->second.created };
-        m_held.items[key] = item;
-        m_held.log.push_back({ item, false });
+        const store_revision revision = ++m_contents.revision;
+        const auto before = m_contents.items.find(key);
+        const published_item item { key, value, revision, before == m_contents.items.end() ? revision : before->second.created };
+        m_contents.items[key] = item;
+        m_contents.log.push_back({ item, false });
     }
-    void copy() { m_copy = m_held; }
+    void copy() { m_copy = m_contents; }
     // Takes readings and answers none of them, also not later on.
-    void fallSilent() { m_silent = true; }
-    void speakAgain() { m_silent = false; }
+    void stopAnswering() { m_silent = true; }
+    void resumeAnswering() { m_silent = false; }
     void restore()
     {
-        m_held = m_copy;
+        m_contents = m_copy;
         ++m_epoch;
     }
-    store_revision revision() const { return m_held.revision; }
+    store_revision revision() const { return m_contents.revision; }
     int readings() const { return m_readings; }
     int listings() const { return m_listings; }
     store_epoch epoch() const { return m_epoch; }
@@ -76,11 +76,11 @@
     awaitable<result<published_snapshot>> readAll() override
     {
         ++m_listings;
-        co_await answerTime();
+        co_await delayAnswer();
         published_snapshot listing;
-        listing.revision = m_held.revision;
+        listing.revision = m_contents.revision;
         listing.epoch = m_epoch;
-        for (const auto& [key, item] : m_held.items)
+        for (const auto& [key, item] : m_contents.items)
             listing.items.push_back(item);
         co_return listing;
     }
@@ -95,16 +95,16 @@
             co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
             co_return notRun(failure_reason::deadline, "no answer");
         }
-        co_await answerTime();
-        while (after == m_held.revision && epoch == m_epoch && boot_clock::now() < until) {
+        co_await delayAnswer();
+        while (after == m_contents.revision && epoch == m_epoch && boot_clock::now() < until) {
             boot_timer timer(m_io, poll);
             co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         }
         published_update update;
-        update.revision = m_held.revision;
+        update.revision = m_contents.revision;
         update.epoch = m_epoch;
-        update.historyLost = after > m_held.revision;
-        for (const auto& change : m_held.log) {
+        update.historyLost = after > m_contents.revision;
+        for (const auto& change : m_contents.log) {
             if (!update.historyLost && change.item.revision > after)
                 update.changes.push_back(change);
         }
@@ -112,7 +112,7 @@
     }
 
 private:
-    awaitable<void> answerTime()
+    awaitable<void> delayAnswer()
     {
         ++m_readings;
         boot_timer timer(m_io, poll);
@@ -126,7 +126,7 @@
     };
 
     asio::io_context& m_io;
-    contents m_held;
+    contents m_contents;
     contents m_copy;
     store_epoch m_epoch = 1;
     int m_readings = 0;
@@ -179,7 +179,7 @@
     CHECK(vm.runUntil([&] { return vm.serverDrains(); }));
     CHECK(vm.version() == 4);
     vm.runUntil([] { return false; });
-    CHECK(vm.store.readings() - before <= mostReadings);
+    CHECK(vm.store.readings() - before <= maxReadings);
 }
 
 TEST_CASE("what is written up to and past the old mark of a restored store is in force")
@@ -227,10 +227,10 @@
     SUBCASE("a peer brings it")
     {
         vm.runUntil([&, until = vm.context.now() + milliseconds(50)] { return vm.context.now() >= until; });
-        peer_state told;
-        told.summary = { { vm.store.epoch(), vm.store.revision() }, 0 };
-        told.delta = { { { configurationKey, configuration(1), 1, 1 } }, { configurationKey }, told.summary.position };
-        vm.state.take(told, "peer");
+        peer_state peer;
+        peer.summary = { { vm.store.epoch(), vm.store.revision() }, 0 };
+        peer.delta = { { { configurationKey, configuration(1), 1, 1 } }, { configurationKey }, peer.summary.position };
+        vm.state.mergePeer(peer, "peer");
         vm.store.put(configurationKey, configuration(5));
         CHECK(vm.runUntil([&] { return vm.version() == 5; }));
         CHECK(vm.store.listings() == before);
@@ -248,7 +248,7 @@
 TEST_CASE("a store that had fallen silent is found in time, whenever it is back")
 {
     following_vm vm;
-    vm.store.fallSilent();
+    vm.store.stopAnswering();
     const int before = vm.store.readings();
     constexpr int untilLongestPause = 4;
     const instant end = vm.context.now() + milliseconds(20'000);
@@ -257,6 +257,6 @@
     REQUIRE(vm.store.readings() - before > untilLongestPause);
     vm.store.restore();
     vm.store.put(configurationKey, configuration(5));
-    vm.store.speakAgain();
+    vm.store.resumeAnswering();
     CHECK(vm.runUntil([&] { return vm.version() == 5; }));
 }
--- a/Tests/platform/retained-items/test.cpp
+++ b/Tests/platform/retained-items/test.cpp
@@ -39,27 +39,27 @@
 
 // What an entry VM knows; it hears from others as over the wire.
 struct vm {
-    void reads(std::vector<published_item> items, store_position position)
+    void readStore(std::vector<published_item> items, store_position position)
     {
-        state.take(published_snapshot { std::move(items), position.revision, position.epoch }, context.now());
+        state.applySnapshot(published_snapshot { std::move(items), position.revision, position.epoch }, context.now());
     }
     bool differsFrom(const vm& other)
     {
         snapshot_choice choice;
         return choice.noteTold("other", true, other.state.summary(), state.summary(), context.now()).has_value();
     }
-    void hears(const vm& other)
+    void mergeFrom(const vm& other)
     {
-        peer_state told;
-        told.summary = other.state.summary();
-        told.delta = other.state.published().since(state.published().position());
+        peer_state peer;
+        peer.summary = other.state.summary();
+        peer.delta = other.state.published().since(state.published().position());
         for (const auto& [key, retained] : other.state.published().retained().all())
-            told.retained.push_back(retained);
-        told.provenAt = other.state.published().provenAt();
-        told.doubt = other.state.listDoubt();
-        told.listSettled = other.state.listSettled();
-        told.restoredAt = other.state.restoredAt();
-        state.take(told, "other");
+            peer.retained.push_back(retained);
+        peer.provenAt = other.state.published().provenAt();
+        peer.listUncertainFor = other.state.listDoubt();
+        peer.listSettled = other.state.listSettled();
+        peer.restoredAt = other.state.restoredAt();
+        state.mergePeer(peer, "other");
     }
     std::uint64_t version() const { return state.configuration()->version(); }
     bool open() { return state.backends().open("i-1"); }
@@ -74,20 +74,20 @@
 
 TEST_CASE("a confirmed configuration stays in force, and a VM that is started beside those that know it learns it")
 {
-    vm knowing;
-    knowing.reads({ configurationItem(63, 46) }, { 1, 46 });
-    knowing.reads({ configurationItem(61, 44) }, { 2, 46 });
-    CHECK(knowing.version() == 63);
+    vm informed;
+    informed.readStore({ configurationItem(63, 46) }, { 1, 46 });
+    informed.readStore({ configurationItem(61, 44) }, { 2, 46 });
+    CHECK(informed.version() == 63);
     vm started;
-    started.reads({ configurationItem(61, 44) }, { 2, 46 });
+    started.readStore({ configurationItem(61, 44) }, { 2, 46 });
     CHECK(started.version() == 61);
-    CHECK(started.differsFrom(knowing));
-    started.hears(knowing);
+    CHECK(started.differsFrom(informed));
+    started.mergeFrom(informed);
     CHECK(started.version() == 63);
-    CHECK_FALSE(started.differsFrom(knowing));
+    CHECK_FALSE(started.differsFrom(informed));
     // The operator has written again: nothing has to be retained any more.
-    for (auto* each : { &knowing, &started }) {
-        each->reads({ configurationItem(67, 47) }, { 2, 47 });
+    for (auto* each : { &informed, &started }) {
+        each->readStore({ configurationItem(67, 47) }, { 2, 47 });
         CHECK(each->version() == 67);
         CHECK(each->state.summary().retained == 0);
     }
@@ -95,66 +95,66 @@
 
 TEST_CASE("a server that said that it leaves is not ready again in the same life")
 {
-    vm knowing;
-    knowing.reads({ serverItem("ready", 100, 2) }, { 1, 2 });
-    knowing.reads({ serverItem("draining", 100, 5) }, { 1, 5 });
-    knowing.reads({ serverItem("ready", 100, 2) }, { 2, 3 });
-    CHECK_FALSE(knowing.open());
-    knowing.reads({ serverItem("ready", 100, 4) }, { 2, 4 });
-    CHECK_FALSE(knowing.open());
-    knowing.reads({ serverItem("ready", 200, 5) }, { 2, 5 });
-    CHECK(knowing.open());
+    vm informed;
+    informed.readStore({ serverItem("ready", 100, 2) }, { 1, 2 });
+    informed.readStore({ serverItem("draining", 100, 5) }, { 1, 5 });
+    informed.readStore({ serverItem("ready", 100, 2) }, { 2, 3 });
+    CHECK_FALSE(informed.open());
+    informed.readStore({ serverItem("ready", 100, 4) }, { 2, 4 });
+    CHECK_FALSE(informed.open());
+    informed.readStore({ serverItem("ready", 200, 5) }, { 2, 5 });
+    CHECK(informed.open());
 }
 
 TEST_CASE("a server that had gone is not there again because a restored store lists it")
 {
-    vm knowing;
-    knowing.reads({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 1, 2 });
-    knowing.reads({ configurationItem(1, 1) }, { 1, 6 });
-    knowing.reads({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 2, 3 });
-    CHECK_FALSE(knowing.open());
+    vm informed;
+    informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 1, 2 });
+    informed.readStore({ configurationItem(1, 1) }, { 1, 6 });
+    informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 2, 3 });
+    CHECK_FALSE(informed.open());
     vm started;
-    started.reads({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 2, 3 });
-    CHECK(started.differsFrom(knowing));
-    started.hears(knowing);
+    started.readStore({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 2, 3 });
+    CHECK(started.differsFrom(informed));
+    started.mergeFrom(informed);
     CHECK_FALSE(started.open());
     // It lives after all, and has listed itself anew.
-    knowing.reads({ configurationItem(1, 1), serverItem("ready", 100, 5, 5) }, { 2, 5 });
-    CHECK(knowing.open());
+    informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 5, 5) }, { 2, 5 });
+    CHECK(informed.open());
 }
 
 TEST_CASE("a server that was started again is not back in its earlier life")
 {
-    vm knowing;
+    vm informed;
     int restarts = 0;
-    knowing.state.onRestart([&restarts](const listed_backend&) { ++restarts; });
-    knowing.reads({ serverItem("ready", 100, 2) }, { 1, 2 });
-    knowing.reads({ serverItem("ready", 200, 5) }, { 1, 5 });
-    knowing.reads({ serverItem("ready", 100, 2) }, { 2, 3 });
-    CHECK(knowing.open());
-    CHECK(knowing.state.backends().find("i-1")->incarnation == 200);
-    knowing.reads({ serverItem("ready", 200, 4) }, { 2, 4 });
+    informed.state.onRestart([&restarts](const listed_backend&) { ++restarts; });
+    informed.readStore({ serverItem("ready", 100, 2) }, { 1, 2 });
+    informed.readStore({ serverItem("ready", 200, 5) }, { 1, 5 });
+    informed.readStore({ serverItem("ready", 100, 2) }, { 2, 3 });
+    CHECK(informed.open());
+    CHECK(informed.state.backends().find("i-1")->incarnation == 200);
+    informed.readStore({ serverItem("ready", 200, 4) }, { 2, 4 });
     CHECK(restarts == 1);
 }
 
 TEST_CASE("a server that had listed itself in the lost seconds is kept until it does so again")
 {
-    vm knowing;
-    knowing.reads({ configurationItem(1, 1) }, { 1, 2 });
-    knowing.reads({ configurationItem(1, 1), serverItem("ready", 100, 5, 5) }, { 1, 5 });
-    knowing.reads({ configurationItem(1, 1) }, { 2, 3 });
-    CHECK(knowing.open());
+    vm informed;
+    informed.readStore({ configurationItem(1, 1) }, { 1, 2 });
+    informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 5, 5) }, { 1, 5 });
+    informed.readStore({ configurationItem(1, 1) }, { 2, 3 });
+    CHECK(informed.open());
 }
 
 TEST_CASE("a server that only the VM remembers takes no address from one that the store lists")
 {
-    vm knowing;
-    knowing.reads({ configurationItem(1, 1) }, { 1, 2 });
-    knowing.reads({ configurationItem(1, 1), serverItem("draining", 100, 41, 40) }, { 1, 41 });
+    vm informed;
+    informed.readStore({ configurationItem(1, 1) }, { 1, 2 });
+    informed.readStore({ configurationItem(1, 1), serverItem("draining", 100, 41, 40) }, { 1, 41 });
     published_item next { "servers/i-2", server("ready", 300), 38, 38 };
-    knowing.reads({ configurationItem(1, 1), serverItem("ready", 100, 36, 36), next }, { 2, 38 });
-    CHECK_FALSE(knowing.open());
-    CHECK(knowing.state.backends().open("i-2"));
+    informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 36, 36), next }, { 2, 38 });
+    CHECK_FALSE(informed.open());
+    CHECK(informed.state.backends().open("i-2"));
 }
 
 // An entry VM had been suspended while the store was restored, listed it by itself as it went on, and kept a server that had
@@ -162,44 +162,44 @@
 // a request there 1.2 s later), though its peers had seen the store back all the while.
 TEST_CASE("a VM that finds a store restored keeps entries only for as long after the return as its peers")
 {
-    vm woken;
-    woken.reads({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 1, 2 });
-    woken.reads({ configurationItem(1, 1) }, { 2, 3 });
-    CHECK(woken.open());
-    const instant now = woken.context.now();
-    woken.state.notePeerRestored(1, now - milliseconds(9'000));
-    CHECK(woken.open());
-    woken.state.notePeerRestored(2, now - milliseconds(500));
-    woken.state.settle();
-    CHECK(woken.open());
-    woken.state.notePeerRestored(2, now - milliseconds(2'000));
-    woken.state.settle();
-    CHECK_FALSE(woken.open());
+    vm resumed;
+    resumed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 1, 2 });
+    resumed.readStore({ configurationItem(1, 1) }, { 2, 3 });
+    CHECK(resumed.open());
+    const instant now = resumed.context.now();
+    resumed.state.notePeerRestored(1, now - milliseconds(9'000));
+    CHECK(resumed.open());
+    resumed.state.notePeerRestored(2, now - milliseconds(500));
+    resumed.state.runPeriodicWork();
+    CHECK(resumed.open());
+    resumed.state.notePeerRestored(2, now - milliseconds(2'000));
+    resumed.state.runPeriodicWork();
+    CHECK_FALSE(resumed.open());
 }
 
 TEST_CASE("a proof of a peer that knows less proves nothing for one that knows more, nor the other way round")
 {
-    vm knowing;
-    knowing.reads({ configurationItem(63, 46) }, { 1, 46 });
-    knowing.reads({ configurationItem(61, 44) }, { 2, 46 });
+    vm informed;
+    informed.readStore({ configurationItem(63, 46) }, { 1, 46 });
+    informed.readStore({ configurationItem(61, 44) }, { 2, 46 });
     vm started;
-    started.reads({ configurationItem(61, 44) }, { 2, 46 });
+    started.readStore({ configurationItem(61, 44) }, { 2, 46 });
     const auto before = started.state.published().provenAt();
     const instant later = started.context.now() + milliseconds(50);
-    started.state.notePeerProof(knowing.state.summary(), later);
+    started.state.notePeerProof(informed.state.summary(), later);
     CHECK(started.state.published().provenAt() == before);
-    started.hears(knowing);
-    started.state.notePeerProof(knowing.state.summary(), later);
+    started.mergeFrom(informed);
+    started.state.notePeerProof(informed.state.summary(), later);
     CHECK(started.state.published().provenAt() == later);
 }
 
 TEST_CASE("a reading right after the restoration proves nothing until peers had time to tell what they know")
 {
     vm reader;
-    reader.reads({ configurationItem(61, 44) }, { 1, 46 });
+    reader.readStore({ configurationItem(61, 44) }, { 1, 46 });
     const auto before = reader.state.published().provenAt();
     REQUIRE(before);
-    reader.reads({ configurationItem(61, 44) }, { 2, 44 });
+    reader.readStore({ configurationItem(61, 44) }, { 2, 44 });
     CHECK(reader.state.published().provenAt() == before);
 }
 
@@ -222,11 +222,11 @@
                 store = copy;
                 store.epoch = epoch;
             } else if (step < 80) {
-                vms[reader].reads(store.items, store.position());
+                vms[reader].readStore(store.items, store.position());
             } else {
                 auto& other = vms[(reader + 1) % vms.size()];
                 if (vms[reader].differsFrom(other))
-                    vms[reader].hears(other);
+                    vms[reader].mergeFrom(other);
             }
             for (std::size_t i = 0; i < vms.size(); ++i) {
                 const auto inForce = vms[i].state.configuration() ? vms[i].version() : 0;
@@ -235,12 +235,12 @@
             }
         }
         for (auto& each : vms)
-            each.reads(store.items, store.position());
+            each.readStore(store.items, store.position());
         for (int round = 0; round < 2; ++round) {
             for (auto& each : vms) {
                 for (auto& other : vms) {
                     if (each.differsFrom(other))
-                        each.hears(other);
+                        each.mergeFrom(other);
                 }
             }
         }
--- a/Tests/platform/start-of-all/test.cpp
+++ b/Tests/platform/start-of-all/test.cpp
@@ -80,7 +80,7 @@
     boot_timer reading(process.context.io(), milliseconds(60));
     reading.async_wait([&](boost::system::error_code) {
         CHECK(exchange.status == 0);
-        process.state.take(published_snapshot { { { "op/config", configurationText, 3, 3 } }, 3 }, process.context.now());
+        process.state.applySnapshot(published_snapshot { { { "op/config", configurationText, 3, 3 } }, 3 }, process.context.now());
     });
     process.context.io().run();
     CHECK(exchange.status == 404);
@@ -103,7 +103,7 @@
 {
     starting_process process;
     const published_snapshot snapshot { { { "op/config", configurationText, 3, 3 } }, 3 };
-    process.state.take(snapshot, process.context.now() - milliseconds(4'000));
+    process.state.applySnapshot(snapshot, process.context.now() - milliseconds(4'000));
     // Its key is unknown, which can be said only once the proof has come.
     one_exchange exchange("/a/x");
     process.serve(exchange);
@@ -120,7 +120,7 @@
 {
     starting_process process;
     const published_snapshot snapshot { { { "op/config", configurationText, 3, 3 } }, 3 };
-    process.state.take(snapshot, process.context.now() - milliseconds(30'000));
+    process.state.applySnapshot(snapshot, process.context.now() - milliseconds(30'000));
     one_exchange exchange("/a/x");
     process.serve(exchange);
     process.context.io().run();
