--- a/Source/gateway/call_registry.cpp
+++ b/Source/gateway/call_registry.cpp
@@ -26,11 +26,11 @@
 std::size_t call_registry::withdraw(request_fingerprint request)
 {
     std::size_t count = 0;
-    for (auto& [backendId, held] : m_calls) {
-        if (held.request != request || held.withdrawn)
+    for (auto& [backendId, registered] : m_calls) {
+        if (registered.request != request || registered.withdrawn)
             continue;
-        held.withdrawn = true;
-        held.call->cancel();
+        registered.withdrawn = true;
+        registered.call->cancel();
         ++count;
     }
     return count;
--- a/Source/gateway/fleet_state.cpp
+++ b/Source/gateway/fleet_state.cpp
@@ -93,12 +93,12 @@
 
 void fleet_state::recordEpoch(store_position next, instant seenAt)
 {
-    const store_position held = m_published.position();
-    if (m_published.empty() || next.epoch == held.epoch)
+    const store_position current = m_published.position();
+    if (m_published.empty() || next.epoch == current.epoch)
         return;
     m_restoredAt = seenAt;
     m_listUncertainUntil = std::max(m_listUncertainUntil, seenAt + lapsedEntriesReturnWithin);
-    m_log.line("store_restored").add("epoch", next.epoch).add("revision", next.revision).add("before", held.epoch).add("held", held.revision);
+    m_log.line("store_restored").add("epoch", next.epoch).add("revision", next.revision).add("before", current.epoch).add("held", current.revision);
 }
 
 void fleet_state::recordStoreFreshness(store_position position, instant askedAt)
@@ -223,8 +223,8 @@
     // Its creation revision belongs to another history than those of the listed servers.
     if (change.retained)
         decoded.value().createdAt = 0;
-    const auto* held = m_backends.find(id);
-    if (!held || !(*held == decoded.value())) {
+    const auto* current = m_backends.find(id);
+    if (!current || !(*current == decoded.value())) {
         m_log.line("backend_listed").add("backend", id).add("address", decoded.value().address).add("state", decoded.value().draining ? "draining" : "ready").add("source", source);
     }
     const bool restarted = m_backends.list(decoded.value());
--- a/Source/gateway/group_leader.cpp
+++ b/Source/gateway/group_leader.cpp
@@ -179,11 +179,11 @@
         const auto* listed = m_state.backends().find(ids[rank]);
         if (!listed)
             co_return;
-        const auto held = co_await m_link.experts(listed->address);
-        if (!held || held->placement != inUse || held->sets.size() != contents.size())
+        const auto rankExperts = co_await m_link.experts(listed->address);
+        if (!rankExperts || rankExperts->placement != inUse || rankExperts->sets.size() != contents.size())
             co_return;
         for (std::size_t set = 0; set < contents.size(); ++set)
-            contents[set][rank] = held->sets[set];
+            contents[set][rank] = rankExperts->sets[set];
     }
     m_monitor->learn(inUse, std::move(contents));
     m_log.line("placement_learned").add("placement", inUse).add("epoch", m_monitor->epoch()).add("source", "all ranks");
@@ -223,12 +223,12 @@
     logEnd(change, began, "cleanup_ended");
 }
 
-void group_leader::logEnd(const map_switch& change, instant began, std::string_view what)
+void group_leader::logEnd(const map_switch& change, instant began, std::string_view event)
 {
     const bool done = change.phase() == switch_phase::done;
     if (done)
         m_context.counters().add(metric::map_switches);
-    m_log.line(what).add("placement", change.placement()).add("step", change.heldStep()).add("took_ms", m_context.now() - began).add("outcome", done ? "done" : "failed").add("reason", change.reason().empty() ? "-" : change.reason());
+    m_log.line(event).add("placement", change.placement()).add("step", change.heldStep()).add("took_ms", m_context.now() - began).add("outcome", done ? "done" : "failed").add("reason", change.reason().empty() ? "-" : change.reason());
 }
 
 awaitable<void> group_leader::executeChange(map_switch& change, milliseconds prepareTime)
--- a/Source/gateway/group_leader.h
+++ b/Source/gateway/group_leader.h
@@ -62,7 +62,7 @@
     // Size of the expert counts of one rank, or of their sum over all ranks.
     std::size_t countsBytes() const;
     std::uint64_t nextFence();
-    void logEnd(const map_switch&, instant began, std::string_view what);
+    void logEnd(const map_switch&, instant began, std::string_view event);
 
     process_context& m_context;
     decision_log& m_log;
--- a/Source/gateway/peer_exchange.cpp
+++ b/Source/gateway/peer_exchange.cpp
@@ -117,11 +117,11 @@
 {
     bool anyChange = false;
     for (const auto& wire : datagram.groups()) {
-        const group_news news { { wire.service(), wire.group() }, { wire.epoch(), wire.open() } };
-        if (!m_groups.note(news, milliseconds(wire.age_ms()), m_context.now()))
+        const group_news update { { wire.service(), wire.group() }, { wire.epoch(), wire.open() } };
+        if (!m_groups.note(update, milliseconds(wire.age_ms()), m_context.now()))
             continue;
         anyChange = true;
-        m_log.line("group_state").add("group", news.key.group).add("epoch", news.phase.epoch).add("state", news.phase.open ? "open" : "closed").add("age_ms", wire.age_ms());
+        m_log.line("group_state").add("group", update.key.group).add("epoch", update.phase.epoch).add("state", update.phase.open ? "open" : "closed").add("age_ms", wire.age_ms());
     }
     return anyChange;
 }
@@ -144,11 +144,11 @@
     }
 }
 
-void peer_exchange::publishGroupState(const group_news& news)
+void peer_exchange::publishGroupState(const group_news& update)
 {
-    if (!m_groups.note(news, milliseconds(0), m_context.now()))
+    if (!m_groups.note(update, milliseconds(0), m_context.now()))
         return;
-    m_log.line("group_state").add("group", news.key.group).add("epoch", news.phase.epoch).add("state", news.phase.open ? "open" : "closed").add("source", "own engine");
+    m_log.line("group_state").add("group", update.key.group).add("epoch", update.phase.epoch).add("state", update.phase.open ? "open" : "closed").add("source", "own engine");
     gossipGroupStates();
 }
 
@@ -306,10 +306,10 @@
         m_limits.addUpdates(datagram);
         if (withKnown)
             addKnownProcesses(datagram);
-        const bool tellsAll = m_peers.self().role == peer_role::entry;
-        const std::size_t fanout = tellsAll ? gossipFanout : reportFanoutOfAgent;
+        const bool isEntry = m_peers.self().role == peer_role::entry;
+        const std::size_t fanout = isEntry ? gossipFanout : reportFanoutOfAgent;
         // Agents ask a different entry VM each time which others exist.
-        datagram.set_wants_known(withKnown && !tellsAll);
+        datagram.set_wants_known(withKnown && !isEntry);
         const auto recipients = m_peers.sampleNear(peer_role::entry, fanout, m_context.random());
         for (const auto& peer : recipients)
             send(peer.host, datagram);
--- a/Source/gateway/peer_wire.cpp
+++ b/Source/gateway/peer_wire.cpp
@@ -71,12 +71,12 @@
 
 void addGroups(gateway::peer_datagram& datagram, const std::vector<std::pair<group_news, milliseconds>>& all)
 {
-    for (const auto& [news, age] : all) {
+    for (const auto& [state, age] : all) {
         auto* added = datagram.add_groups();
-        added->set_group(news.key.group);
-        added->set_service(news.key.service);
-        added->set_epoch(news.phase.epoch);
-        added->set_open(news.phase.open);
+        added->set_group(state.key.group);
+        added->set_service(state.key.service);
+        added->set_epoch(state.phase.epoch);
+        added->set_open(state.phase.open);
         added->set_age_ms(static_cast<std::uint32_t>(age.count()));
     }
 }
--- a/Source/gateway/place_giver.cpp
+++ b/Source/gateway/place_giver.cpp
@@ -82,14 +82,14 @@
     co_return admission_place(gate, entered.value());
 }
 
-void place_giver::recordFirstEvent(const std::string& service, milliseconds taken)
+void place_giver::recordFirstEvent(const std::string& service, milliseconds elapsed)
 {
-    slotsFor(service).firstEvent.observe(taken);
+    slotsFor(service).firstEvent.observe(elapsed);
 }
 
-void place_giver::recordCompletion(const std::string& service, milliseconds taken)
+void place_giver::recordCompletion(const std::string& service, milliseconds elapsed)
 {
-    slotsFor(service).run.observe(taken);
+    slotsFor(service).run.observe(elapsed);
 }
 
 milliseconds place_giver::typicalRun(const std::string& service)
--- a/Source/gateway/place_giver.h
+++ b/Source/gateway/place_giver.h
@@ -26,14 +26,14 @@
     // Sets the number of active entry VMs, this one included.
     void setEntries(std::size_t entries) { m_entries = entries; }
     // Records the time from a slot to the first event of the answer.
-    void recordFirstEvent(const std::string& service, milliseconds taken);
+    void recordFirstEvent(const std::string& service, milliseconds elapsed);
     // Mean plus two deviations of it.
     milliseconds typicalFirstEvent(const std::string& service) { return slotsFor(service).firstEvent.value(); }
     // Mean time from a slot to the end of the answer, as recently observed. Not a high percentile:
     // answers differ in length by a factor of ten, and a caller refused because its answer might be
     // long gets none at all.
     milliseconds typicalRun(const std::string& service);
-    void recordCompletion(const std::string& service, milliseconds taken);
+    void recordCompletion(const std::string& service, milliseconds elapsed);
 
 private:
     // State of one service.
--- a/Source/gateway/placement_codec.cpp
+++ b/Source/gateway/placement_codec.cpp
@@ -64,10 +64,10 @@
     for (std::size_t set = 0; set < sets && !bits.failed(); ++set) {
         auto& layer = placement.emplace_back();
         for (std::size_t rank = 0; rank < ranks && !bits.failed(); ++rank) {
-            auto& held = layer.emplace_back();
+            auto& rankExperts = layer.emplace_back();
             const std::size_t count = bits.read(experts);
             for (std::size_t i = 0; i < count && !bits.failed(); ++i)
-                held.push_back(static_cast<std::uint16_t>(bits.read(expert)));
+                rankExperts.push_back(static_cast<std::uint16_t>(bits.read(expert)));
         }
     }
     if (bits.failed() || !bits.atEnd())
--- a/Source/gateway/snapshot_exchange.cpp
+++ b/Source/gateway/snapshot_exchange.cpp
@@ -18,9 +18,9 @@
     constexpr std::string_view epochName = "epoch";
     constexpr std::string_view revisionName = "revision";
 
-    std::string snapshotTarget(store_position held)
+    std::string snapshotTarget(store_position known)
     {
-        return std::string(snapshotPath) + "?" + std::string(epochName) + "=" + std::to_string(held.epoch) + "&" + std::string(revisionName) + "=" + std::to_string(held.revision);
+        return std::string(snapshotPath) + "?" + std::string(epochName) + "=" + std::to_string(known.epoch) + "&" + std::string(revisionName) + "=" + std::to_string(known.revision);
     }
 
     void setItem(gateway::published_item& wire, const published_item& item)
@@ -106,7 +106,7 @@
 {
     const std::string target(request.target());
     // A position that is missing or cannot be read counts as 0, so the peer is sent everything.
-    const store_position held { queryNumber(target, epochName, 0), queryNumber(target, revisionName, 0) };
+    const store_position known { queryNumber(target, epochName, 0), queryNumber(target, revisionName, 0) };
     gateway::fleet_snapshot wire;
     const auto& published = m_state.published();
     setSummary(wire, m_state.summary());
@@ -117,7 +117,7 @@
     wire.set_list_settled(m_state.listSettled());
     if (const auto restoredAt = m_state.restoredAt())
         wire.set_restored_ms_ago(wholeMilliseconds(m_context.now() - *restoredAt));
-    const published_delta delta = published.since(held);
+    const published_delta delta = published.since(known);
     for (const auto& key : delta.keys)
         wire.add_keys(key);
     for (const auto& item : delta.items)
--- a/Source/gateway/store_follower.cpp
+++ b/Source/gateway/store_follower.cpp
@@ -108,9 +108,9 @@
     if (applied) {
         notifyUpdate();
     } else {
-        const store_position held = m_state.published().position();
+        const store_position current = m_state.published().position();
         m_context.counters().add(metric::store_readings_refused);
-        m_log.line("listing_refused").add("epoch", snapshot.value().epoch).add("revision", snapshot.value().revision).add("held_epoch", held.epoch).add("held", held.revision);
+        m_log.line("listing_refused").add("epoch", snapshot.value().epoch).add("revision", snapshot.value().revision).add("held_epoch", current.epoch).add("held", current.revision);
     }
     // A listing older than the state from peers is repeated after a pause.
     co_return applied;
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -162,8 +162,8 @@
     if (!request.costs)
         return false;
     const instant now = m_context.now();
-    const bool awaitsNews = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupReportTime && !m_groups.heardOf(request.service, now);
-    return awaitsNews || m_groups.closed(request.service, now);
+    const bool awaitsReport = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupReportTime && !m_groups.heardOf(request.service, now);
+    return awaitsReport || m_groups.closed(request.service, now);
 }
 
 awaitable<std::optional<failure>> upstream_dispatcher::awaitOpenGroup(http_exchange& exchange, const admitted_request& request, const progress& state)
--- a/Tests/platform/crash-gossip/test.cpp
+++ b/Tests/platform/crash-gossip/test.cpp
@@ -1,5 +1,5 @@
-// Entry VMs that do not reach each other hear of a request that ends servers through the agents,
-// and so do entry VMs that were all started anew.
+// Agents store crash records: entry VMs that cannot reach each other learn of a crashing request through
+// an agent, and so do entry VMs that have all been restarted.
 #include "gateway/crash_gossip.h"
 
 #include "daemon/boot_timer.h"
@@ -12,22 +12,22 @@
 
 namespace {
 
-constexpr request_fingerprint guilty { 1 };
-// Between two reports of a process; longer than that between two answers to such as lack something.
+constexpr request_fingerprint crashingRequest { 1 };
+// Between two reports of a process; longer than the pause between two replies to peers that lack records.
 constexpr milliseconds reportPause { 110 };
 
 class network;
 
-// One process: what it knows, and how it sends.
+// One process with its crash history; sends through the network below.
 class node : public datagram_sender {
 public:
     node(network&, process_context&, std::string host, peer_role);
 
     gateway::peer_datagram makeDatagram() const override;
     void send(const std::string& host, const gateway::peer_datagram&) override;
-    bool bars() const { return history.barredFor(guilty, boot_clock::now()).has_value(); }
+    bool blocks() const { return history.barredFor(crashingRequest, boot_clock::now()).has_value(); }
 
-    network& wires;
+    network& net;
     std::string host;
     crash_history history;
     peer_table peers;
@@ -53,7 +53,7 @@
         }
     }
 
-    // Each process reports to each other one; then all that follows from it happens.
+    // Sends a report from each process to each other one, and runs until all datagrams are handled.
     void report()
     {
         for (const auto& from : nodes) {
@@ -74,7 +74,7 @@
 };
 
 node::node(network& all, process_context& context, std::string name, peer_role role)
-    : wires(all)
+    : net(all)
     , host(name)
     , peers({ std::move(name), "a", role, 1 }, {}, milliseconds(3'000))
     , gossip(context, history, peers, *this)
@@ -90,19 +90,19 @@
 
 void node::send(const std::string& to, const gateway::peer_datagram& datagram)
 {
-    wires.deliver(host, to, datagram);
+    net.deliver(host, to, datagram);
 }
 
-void crashTwice(node& where)
+void crashTwice(node& seenBy)
 {
     for (const std::uint32_t server : { 10U, 11U })
-        where.history.noteCrash(guilty, server, 0, boot_clock::now());
-    where.gossip.publish();
+        seenBy.history.noteCrash(crashingRequest, server, 0, boot_clock::now());
+    seenBy.gossip.publish();
 }
 
 } // namespace
 
-TEST_CASE("entry VMs that are cut off from each other hear of it through an agent")
+TEST_CASE("entry VMs that are cut off from each other learn of a blocked request through an agent")
 {
     network all;
     node& first = all.add("e1", peer_role::entry);
@@ -110,37 +110,37 @@
     all.add("a1", peer_role::agent);
     all.cut.insert({ "e1", "e2" });
     crashTwice(first);
-    REQUIRE_FALSE(second.bars());
-    for (int i = 0; i < 5 && !second.bars(); ++i)
+    REQUIRE_FALSE(second.blocks());
+    for (int i = 0; i < 5 && !second.blocks(); ++i)
         all.report();
-    CHECK(second.bars());
+    CHECK(second.blocks());
 }
 
-TEST_CASE("an entry VM that was started anew hears of it from an agent, with no other left")
+TEST_CASE("a restarted entry VM learns of a blocked request from an agent when no other entry VM is left")
 {
     network all;
     node& agent = all.add("a1", peer_role::agent);
     {
         node& before = all.add("e1", peer_role::entry);
         crashTwice(before);
-        for (int i = 0; i < 5 && !agent.bars(); ++i)
+        for (int i = 0; i < 5 && !agent.blocks(); ++i)
             all.report();
     }
-    REQUIRE(agent.bars());
+    REQUIRE(agent.blocks());
     all.nodes.pop_back();
     node& after = all.add("e1", peer_role::entry);
-    for (int i = 0; i < 5 && !after.bars(); ++i)
+    for (int i = 0; i < 5 && !after.blocks(); ++i)
         all.report();
-    CHECK(after.bars());
+    CHECK(after.blocks());
 }
 
-TEST_CASE("where all know the same nothing is sent but the reports")
+TEST_CASE("processes that know the same records send no crash records")
 {
     network all;
     node& first = all.add("e1", peer_role::entry);
     node& second = all.add("e2", peer_role::entry);
     crashTwice(first);
-    for (int i = 0; i < 5 && !second.bars(); ++i)
+    for (int i = 0; i < 5 && !second.blocks(); ++i)
         all.report();
     REQUIRE(first.history.digest() == second.history.digest());
     const auto before = first.makeDatagram();
--- a/Tests/platform/limit-exchange/test.cpp
+++ b/Tests/platform/limit-exchange/test.cpp
@@ -1,5 +1,6 @@
-// Words about limits and grants between entry VMs: who starts learns them, who reaches no arbiter
-// sends nothing, and who missed the end of a limit hears of it from the arbiter.
+// Exchange of limits and grants between entry VMs: a starting VM learns the limits, one that cannot reach
+// a server's arbiter sends that server nothing, and one that missed the end of a limit learns of it from
+// the arbiter.
 #include "gateway/limit_exchange.h"
 
 #include "daemon/boot_timer.h"
@@ -18,10 +19,10 @@
 namespace {
 
 constexpr server_hash server = 7;
-constexpr int usual = 2;
-// A process that starts does not yet take itself for an arbiter.
+constexpr int usualPriority = 2;
+// Longer than the time after its start in which a process does not act as an arbiter.
 constexpr milliseconds joinTime { 1'050 };
-// Questions and answers that an arbiter has in a second, and its control traffic.
+// Queries and answers of an arbiter per second, and the bound on its control traffic.
 constexpr std::size_t exchangesPerSecond = 20;
 constexpr std::size_t controlBytesPerSecond = 3'000;
 
@@ -33,10 +34,10 @@
 
     gateway::peer_datagram makeDatagram() const override;
     void send(const std::string& host, const gateway::peer_datagram&) override;
-    bool maySend() const { return limits.maySend(server, usual, boot_clock::now()); }
-    void want() { limits.want("s", { server }, usual, boot_clock::now()); }
+    bool maySend() const { return limits.maySend(server, usualPriority, boot_clock::now()); }
+    void want() { limits.want("s", { server }, usualPriority, boot_clock::now()); }
 
-    network& wires;
+    network& net;
     std::string host;
     server_limits limits;
     peer_table peers;
@@ -80,8 +81,8 @@
 
     node& other() { return nodes[0].get() == &arbiter() ? *nodes[1] : *nodes[0]; }
 
-    // Until the arbiter takes itself for one and has something to grant.
-    static void pass(milliseconds time) { std::this_thread::sleep_for(time); }
+    // Waits in real time, until the arbiter acts as one and has something to grant.
+    static void wait(milliseconds time) { std::this_thread::sleep_for(time); }
 
     process_context context { "limits", "a", "test" };
     decision_log log { "limits", STDERR_FILENO };
@@ -91,7 +92,7 @@
 };
 
 node::node(network& made, process_context& context, decision_log& log, const std::string& name)
-    : wires(made)
+    : net(made)
     , host(name)
     , peers({ name, "a", peer_role::entry, 1 }, {}, milliseconds(3'000))
     , exchange(context, log, limits, peers, *this)
@@ -99,7 +100,7 @@
     limits.onQuestions([this] { exchange.sendGrantQueries(); });
 }
 
-// With as much as a real one says of its sender.
+// Its sender's fields are as large as in a real datagram.
 gateway::peer_datagram node::makeDatagram() const
 {
     gateway::peer_datagram datagram;
@@ -111,69 +112,69 @@
 
 void node::send(const std::string& to, const gateway::peer_datagram& datagram)
 {
-    wires.deliver(host, to, datagram);
+    net.deliver(host, to, datagram);
 }
 
 } // namespace
 
-TEST_CASE("who starts learns of limits, and of a change while it is new")
+TEST_CASE("a starting VM learns all limits, and recent changes are gossiped")
 {
     network made(3);
-    node& knows = *made.nodes[0];
-    node& starts = *made.nodes[1];
-    knows.limits.noteAnswer(server, 2.0, boot_clock::now());
-    gateway::peer_datagram news;
-    knows.exchange.addUpdates(news);
-    CHECK(news.limits_size() == 1);
+    node& informed = *made.nodes[0];
+    node& starting = *made.nodes[1];
+    informed.limits.noteAnswer(server, 2.0, boot_clock::now());
+    gateway::peer_datagram updates;
+    informed.exchange.addUpdates(updates);
+    CHECK(updates.limits_size() == 1);
     gateway::peer_datagram known;
-    knows.exchange.addKnownLimits(known);
-    starts.exchange.receive(known, knows.host);
-    CHECK((starts.limits.limitOf(server, boot_clock::now()) == 2.0));
+    informed.exchange.addKnownLimits(known);
+    starting.exchange.receive(known, informed.host);
+    CHECK((starting.limits.limitOf(server, boot_clock::now()) == 2.0));
 }
 
-TEST_CASE("the arbiter grants what is asked of it, and nobody else does")
+TEST_CASE("only the arbiter of a server grants requests, and not before it knows the fleet")
 {
     network made(3);
     for (auto& each : made.nodes)
         each->limits.noteAnswer(server, 20.0, boot_clock::now());
-    node& asks = made.other();
-    asks.want();
+    node& requester = made.other();
+    requester.want();
     made.settle();
-    CHECK_FALSE(asks.maySend());
-    network::pass(joinTime);
-    asks.want();
+    CHECK_FALSE(requester.maySend());
+    network::wait(joinTime);
+    requester.want();
     made.settle();
-    network::pass(milliseconds(300));
-    asks.want();
+    network::wait(milliseconds(300));
+    requester.want();
     made.settle();
-    CHECK(asks.maySend());
+    CHECK(requester.maySend());
     CHECK(made.largest * exchangesPerSecond <= controlBytesPerSecond);
 }
 
-TEST_CASE("who does not reach the arbiter of a limit sends nothing")
+TEST_CASE("a VM that cannot reach the arbiter of a limited server sends it nothing")
 {
     network made(3);
-    node& asks = made.other();
-    asks.limits.noteAnswer(server, 20.0, boot_clock::now());
+    node& requester = made.other();
+    requester.limits.noteAnswer(server, 20.0, boot_clock::now());
     made.cut.insert(made.arbiter().host);
-    network::pass(joinTime);
+    network::wait(joinTime);
     for (int i = 0; i < 3; ++i) {
-        asks.want();
+        requester.want();
         made.settle();
-        CHECK_FALSE(asks.maySend());
-        network::pass(milliseconds(310));
+        CHECK_FALSE(requester.maySend());
+        network::wait(milliseconds(310));
     }
 }
 
-TEST_CASE("who missed the end of a limit hears of it from the arbiter")
+TEST_CASE("a VM that missed the end of a limit learns of it from the arbiter")
 {
     network made(3);
-    node& asks = made.other();
-    asks.limits.noteAnswer(server, 20.0, boot_clock::now());
+    node& requester = made.other();
+    requester.limits.noteAnswer(server, 20.0, boot_clock::now());
     made.arbiter().limits.noteAnswer(server, 20.0, boot_clock::now());
     made.arbiter().limits.noteAnswer(server, std::nullopt, boot_clock::now() + milliseconds(2));
-    network::pass(milliseconds(5));
-    asks.want();
+    network::wait(milliseconds(5));
+    requester.want();
     made.settle();
-    CHECK(asks.maySend());
+    CHECK(requester.maySend());
 }
--- a/Tests/platform/link-budget/test.cpp
+++ b/Tests/platform/link-budget/test.cpp
@@ -1,5 +1,5 @@
-// What the messages of a group cost the machines' links, by the real encoders: at the size of
-// today's largest group, no more than a third of any link.
+// Checks with the real encoders that the messages of the largest planned group take no more than a third
+// of any machine's link.
 #include "gateway/choice_codec.h"
 #include "gateway/peer_wire.h"
 #include "gateway/placement_codec.h"
@@ -28,10 +28,10 @@
 const deployment threeGroups { 24, 16, 96, 5, 32, 3, 8, 40 };
 
 constexpr std::size_t packet = 1'472;
-// Of HTTP and TCP around a call or an answer.
+// Overhead of HTTP and TCP per call or answer.
 constexpr std::size_t envelope = 300;
 
-rank_view usualView(std::size_t rank)
+rank_view typicalView(std::size_t rank)
 {
     rank_view view;
     view.group = "assistant-llm-g0";
@@ -58,32 +58,32 @@
     return call.ByteSizeLong() + envelope;
 }
 
-std::size_t answerBytes(const deployment& made, std::size_t targets, bool withChoices)
+std::size_t answerBytes(const deployment& deployed, std::size_t targets, bool withChoices)
 {
     gateway::group_answer answer;
     if (withChoices)
-        answer.set_choices(packChoices(std::vector<std::uint64_t>(made.layerSets * made.experts, 77)));
+        answer.set_choices(packChoices(std::vector<std::uint64_t>(deployed.layerSets * deployed.experts, 77)));
     for (std::size_t i = 0; i < targets; ++i) {
         auto* rank = answer.add_ranks();
         rank->set_index(static_cast<std::uint32_t>(i));
         rank->set_reached(true);
-        *rank->mutable_view() = toWire(usualView(i));
+        *rank->mutable_view() = toWire(typicalView(i));
     }
     return answer.ByteSizeLong() + envelope;
 }
 
-// Bytes that come to and leave the caller of so many targets in one look at them.
-std::size_t lookBytes(const deployment& made, std::size_t targets, bool withChoices)
+// Bytes that the caller sends and receives in one poll of so many targets.
+std::size_t pollBytes(const deployment& deployed, std::size_t targets, bool withChoices)
 {
     std::size_t bytes = 0;
     for (const auto& part : splitCall(std::vector<call_target>(targets)))
-        bytes += callBytes(part.size()) + answerBytes(made, part.size(), withChoices);
+        bytes += callBytes(part.size()) + answerBytes(deployed, part.size(), withChoices);
     return bytes;
 }
 
-look_plan planOf(const deployment& made)
+look_plan pollPlanOf(const deployment& deployed)
 {
-    return planLooks({ made.agentMbps, made.ranks, made.layerSets * made.experts }, milliseconds(100));
+    return planLooks({ deployed.agentMbps, deployed.ranks, deployed.layerSets * deployed.experts }, milliseconds(100));
 }
 
 double shareOfLink(std::size_t bytes, milliseconds each, double mbps)
@@ -91,7 +91,7 @@
     return static_cast<double>(bytes) * 8 / (mbps * 1'000) / static_cast<double>(each.count());
 }
 
-std::vector<gateway::peer_datagram> loadDatagrams(const deployment& made)
+std::vector<gateway::peer_datagram> loadDatagrams(const deployment& deployed)
 {
     gateway::peer_datagram common;
     *common.mutable_sender() = toWire(peer_info { "10.105.64.25", "hall-charguia", peer_role::agent, 1'796'000'000'000'000'000 });
@@ -99,7 +99,7 @@
     const group_key key { "assistant-llm", "assistant-llm-g0" };
     addGroups(common, { { { key, { 3, true } }, milliseconds(40) } });
     load_report_by_hash loads;
-    for (std::size_t i = 0; i < made.ranks; ++i)
+    for (std::size_t i = 0; i < deployed.ranks; ++i)
         loads[backendHash(std::to_string(i))] = { 6, 0, 1.0 };
     return rankDatagrams(common, { key, { 1.3, 1.0 }, loads });
 }
@@ -114,39 +114,39 @@
 
 } // namespace
 
-TEST_CASE("looks at all ranks and the loads told take a third of the leader's link at the most")
+TEST_CASE("polling all ranks and reporting their loads take at most a third of the leader's link")
 {
-    for (const auto& made : { large, grown, threeGroups }) {
-        const look_plan plan = planOf(made);
-        const std::size_t others = made.ranks - 1;
-        const auto looks = static_cast<std::size_t>(plan.looksPerCounts);
-        const std::size_t bytes = lookBytes(made, others, true) + (looks - 1) * lookBytes(made, others, false) + looks * made.zones * bytesOf(loadDatagrams(made));
-        CHECK(shareOfLink(bytes, plan.pause * plan.looksPerCounts, made.agentMbps) < 0.34);
+    for (const auto& deployed : { large, grown, threeGroups }) {
+        const look_plan plan = pollPlanOf(deployed);
+        const std::size_t others = deployed.ranks - 1;
+        const auto polls = static_cast<std::size_t>(plan.looksPerCounts);
+        const std::size_t bytes = pollBytes(deployed, others, true) + (polls - 1) * pollBytes(deployed, others, false) + polls * deployed.zones * bytesOf(loadDatagrams(deployed));
+        CHECK(shareOfLink(bytes, plan.pause * plan.looksPerCounts, deployed.agentMbps) < 0.34);
         CHECK(plan.pause * plan.looksPerCounts <= milliseconds(300));
         CHECK(plan.pause <= milliseconds(150));
     }
 }
 
-TEST_CASE("an agent that passes a look on sends and receives no more than its leader")
+TEST_CASE("an agent that forwards a poll sends and receives no more than its leader")
 {
     const auto parts = splitCall(std::vector<call_target>(large.ranks - 1));
-    CHECK(lookBytes(large, parts.front().size() - 1, true) <= lookBytes(large, large.ranks - 1, true));
+    CHECK(pollBytes(large, parts.front().size() - 1, true) <= pollBytes(large, large.ranks - 1, true));
 }
 
-TEST_CASE("a placement reaches all ranks within the time that its call allows, through links of 6 Mbit/s")
+TEST_CASE("a placement reaches all ranks through 6 Mbit/s links within the budget of its call")
 {
     const std::size_t contents = packPlacement(initialPlacement(large.layerSets, large.experts, large.ranks)).size();
-    // With all slots taken.
-    const std::size_t full = large.layerSets * large.ranks * (2 + large.slots * 9) / 8 + 8;
-    CHECK(contents < full);
-    CHECK(full < 7'600);
-    const call_limits limits { large.agentMbps, large.ranks - 1, full };
-    const double onceMs = static_cast<double>(callFanout * (full + callBytes(22))) * 8 / (large.agentMbps * 1'000);
+    // With all expert slots in use.
+    const std::size_t largestContents = large.layerSets * large.ranks * (2 + large.slots * 9) / 8 + 8;
+    CHECK(contents < largestContents);
+    CHECK(largestContents < 7'600);
+    const call_limits limits { large.agentMbps, large.ranks - 1, largestContents };
+    const double onceMs = static_cast<double>(callFanout * (largestContents + callBytes(22))) * 8 / (large.agentMbps * 1'000);
     CHECK(onceMs * static_cast<double>(callDepth(large.ranks - 1)) < static_cast<double>(callBudget(limits).count()));
     CHECK(callBudget(limits) < milliseconds(1'000));
 }
 
-TEST_CASE("loads of 129 ranks fit one packet, those of more take several")
+TEST_CASE("the loads of 129 ranks fit one packet, those of 390 take three")
 {
     const auto one = loadDatagrams(large);
     REQUIRE(one.size() == 1);
@@ -163,12 +163,12 @@
     CHECK(ranks == larger.ranks);
 }
 
-// Each look another entry VM of the zone, at random, passes it on.
-TEST_CASE("passing loads on to their zone takes entry VMs a five-hundredth of their link, and 0.06 for one look")
+// For each poll a random entry VM of the zone is chosen to forward the loads.
+TEST_CASE("forwarding loads in their zone takes 0.06 of an entry VM's link during one poll, and 0.002 on average")
 {
     const std::size_t inZone = large.entries / large.zones;
     const std::size_t bytes = bytesOf(loadDatagrams(large)) * (1 + inZone);
-    const double whileItDoes = shareOfLink(bytes, planOf(large).pause, large.entryMbps);
-    CHECK(whileItDoes < 0.06);
-    CHECK(whileItDoes / static_cast<double>(inZone) < 0.002);
+    const double whileForwarding = shareOfLink(bytes, pollPlanOf(large).pause, large.entryMbps);
+    CHECK(whileForwarding < 0.06);
+    CHECK(whileForwarding / static_cast<double>(inZone) < 0.002);
 }
--- a/Tests/platform/placement-codec/test.cpp
+++ b/Tests/platform/placement-codec/test.cpp
@@ -1,4 +1,4 @@
-// Placements on their way between agents: what is unpacked is what was packed, and little.
+// The encoding of placements is lossless and compact, and truncated or extended bytes are rejected.
 #include "gateway/placement_codec.h"
 #include "policy/placement_planner.h"
 
@@ -7,7 +7,7 @@
 
 using namespace rampgap;
 
-TEST_CASE("a placement that was packed is unpacked as it was")
+TEST_CASE("a packed placement is unpacked unchanged")
 {
     CHECK(rc::check([] {
         const auto sets = *rc::gen::inRange<std::size_t>(0, 5);
@@ -24,7 +24,7 @@
     }));
 }
 
-TEST_CASE("bytes that were cut, or that go on, are no placement")
+TEST_CASE("truncated bytes and extra bytes are rejected")
 {
     const std::string bytes = packPlacement(initialPlacement(2, 6, 3));
     for (std::size_t size = 0; size < bytes.size(); ++size)
@@ -32,7 +32,7 @@
     CHECK_FALSE(unpackPlacement(bytes + "x").has_value());
 }
 
-TEST_CASE("a placement of the planned size of today takes little more than a byte an expert")
+TEST_CASE("a placement of the planned size takes little more than a byte per expert")
 {
     const auto placement = initialPlacement(8, 252, 63);
     CHECK(packPlacement(placement).size() < 8 * 252 + 8 * 63 + 10);
--- a/Tests/platform/restarted-server/test.cpp
+++ b/Tests/platform/restarted-server/test.cpp
@@ -1,4 +1,5 @@
-// A server that was started again under its id has lost the calls that it had.
+// A server that was restarted under its id has lost its calls: they are cancelled at once. Copies of a
+// suspected request are withdrawn while their answers have not begun.
 #include "daemon/boot_timer.h"
 #include "gateway/call_registry.h"
 
@@ -15,8 +16,8 @@
 namespace asio = boost::asio;
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
-// Takes the request and never answers.
-awaitable<void> stayMute(tcp::acceptor& acceptor)
+// Accepts the request and never answers.
+awaitable<void> neverAnswer(tcp::acceptor& acceptor)
 {
     auto [error, socket] = co_await acceptor.async_accept(asTuple);
     REQUIRE_FALSE(error);
@@ -34,11 +35,11 @@
         failed = head.error();
 }
 
-struct mute_server {
-    explicit mute_server(asio::io_context& io)
+struct silent_server {
+    explicit silent_server(asio::io_context& io)
         : acceptor(io, { asio::ip::address_v4::loopback(), 0 })
     {
-        asio::co_spawn(io, stayMute(acceptor), asio::detached);
+        asio::co_spawn(io, neverAnswer(acceptor), asio::detached);
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
 
@@ -47,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("copies of a request that have not begun are taken back, others go on")
+TEST_CASE("calls of a request whose answers have not begun are withdrawn, others go on")
 {
     process_context context { "caller", "a", "test" };
     http_client client { context };
@@ -71,13 +72,13 @@
     CHECK_FALSE(ofCopy.cancelled());
 }
 
-TEST_CASE("calls at a server that was started again end at once, others go on")
+TEST_CASE("calls at a restarted server are cancelled at once, others go on")
 {
     constexpr milliseconds longest { 60'000 };
     process_context context { "caller", "a", "test" };
     http_client client { context };
-    mute_server restarted(context.io());
-    mute_server elsewhere(context.io());
+    silent_server restarted(context.io());
+    silent_server elsewhere(context.io());
     http_call lost(client);
     http_call other(client);
     call_registry calls;
--- a/Tests/platform/restored-store/test.cpp
+++ b/Tests/platform/restored-store/test.cpp
@@ -1,8 +1,7 @@
-// The metadata store was restored from a copy some seconds old and gave out its revisions again. An entry VM that held
-// revision 35 refused every listing as older, asked again at once, and when the count had passed 35 watched on from there:
-// what had been written below never reached it, and a server that had said that it leaves got requests for 2.5 s more. Its
-// log had "store_epoch_seen epoch=2 before=1 revision=31 held=35", "listing_refused epoch=2 revision=31 held=35" a hundred
-// times a second, and then "configuration_in_force version=28 revision=36" without what came between.
+// Guards against missing changes after the metadata store is restored from an older copy and reuses revision numbers. An
+// entry VM at revision 35 refused the restored store's listings as older (revision 31), requested them again a hundred times
+// a second, and went on watching once the count had passed 35. So it missed what was written below 35, and sent requests to
+// a leaving server for 2.5 s more.
 #include "daemon/boot_timer.h"
 #include "gateway/store_follower.h"
 #include "platform/item_decoder.h"
@@ -20,13 +19,13 @@
 
 namespace asio = boost::asio;
 
-// The users' bound on what is written after the return.
-constexpr milliseconds inForceWithin { 2'000 };
+// The users' bound on applying what is written after the store's return.
+constexpr milliseconds appliedWithin { 2'000 };
 constexpr milliseconds watchWait { 800 };
 constexpr milliseconds poll { 5 };
-// How much longer than its wait the adapter gives a watch.
+// The adapter's timeout of a watch beyond its wait.
 constexpr milliseconds answerMargin { 1'000 };
-// Each of 390 VMs may ask five times a second; twice the bound, and one more for each of four writes.
+// Each of 390 VMs may read five times per second; in two seconds, plus one read for each of four writes.
 constexpr int maxReadings = 14;
 
 std::string configuration(int version)
@@ -43,7 +42,7 @@
 const std::string configurationKey = "op/config";
 const std::string serverKey = "servers/i-1";
 
-// A store in memory that can be restored from a copy of itself.
+// An in-memory store that can be restored from a copy of itself.
 class restorable_store : public published_source {
 public:
     explicit restorable_store(asio::io_context& io)
@@ -60,7 +59,7 @@
         m_contents.log.push_back({ item, false });
     }
     void copy() { m_copy = m_contents; }
-    // Takes readings and answers none of them, also not later on.
+    // Accepts calls and never answers them, not even later.
     void stopAnswering() { m_silent = true; }
     void resumeAnswering() { m_silent = false; }
     void restore()
@@ -134,7 +133,7 @@
     bool m_silent = false;
 };
 
-// An entry VM that follows the store; `runUntil` lets time pass.
+// An entry VM that follows the store; `runUntil` runs it in real time.
 struct following_vm {
     following_vm()
     {
@@ -149,7 +148,7 @@
 
     bool runUntil(const std::function<bool()>& reached)
     {
-        const instant end = context.now() + inForceWithin;
+        const instant end = context.now() + appliedWithin;
         while (!reached() && context.now() < end) {
             context.io().restart();
             context.io().run_for(poll);
@@ -169,7 +168,7 @@
 
 } // namespace
 
-TEST_CASE("what is written below the old mark of a restored store is in force")
+TEST_CASE("changes below the revision that was seen before a restoration are applied")
 {
     following_vm vm;
     const int before = vm.store.readings();
@@ -182,7 +181,7 @@
     CHECK(vm.store.readings() - before <= maxReadings);
 }
 
-TEST_CASE("what is written up to and past the old mark of a restored store is in force")
+TEST_CASE("changes up to and beyond the revision that was seen before a restoration are applied")
 {
     for (const int last : { 5, 6, 7, 8 }) {
         CAPTURE(last);
@@ -207,7 +206,7 @@
     CHECK(vm.runUntil([&] { return vm.version() == 6 && vm.serverDrains(); }));
 }
 
-TEST_CASE("a server that has said that it leaves gets nothing more when the store forgets it")
+TEST_CASE("a leaving server gets no more requests after the restored store has lost that it leaves")
 {
     following_vm vm;
     vm.store.put(serverKey, server("draining"));
@@ -218,13 +217,13 @@
     CHECK(vm.serverDrains());
 }
 
-TEST_CASE("a VM for which others read leaves the listing of a restored store to them, and lists it if they do not")
+TEST_CASE("a VM with other readers leaves the listing of a restored store to them, and lists it if they do not")
 {
     following_vm vm;
     const int before = vm.store.listings();
     vm.follower.setReadersBeside([] { return true; });
     vm.store.restore();
-    SUBCASE("a peer brings it")
+    SUBCASE("a peer sends the listing")
     {
         vm.runUntil([&, until = vm.context.now() + milliseconds(50)] { return vm.context.now() >= until; });
         peer_state peer;
@@ -235,7 +234,7 @@
         CHECK(vm.runUntil([&] { return vm.version() == 5; }));
         CHECK(vm.store.listings() == before);
     }
-    SUBCASE("nobody does")
+    SUBCASE("no peer sends the listing")
     {
         vm.store.put(configurationKey, configuration(5));
         CHECK(vm.runUntil([&] { return vm.version() == 5; }));
@@ -243,9 +242,9 @@
     }
 }
 
-// A reading that the silent store took right before its return is never answered: it was given up 1.8 s later, and the next
-// one followed after a pause of 0.6 s, beyond the two seconds in which all are to be served.
-TEST_CASE("a store that had fallen silent is found in time, whenever it is back")
+// A call that a silent store received right before its return is never answered. It timed out 1.8 s later and the next one
+// followed after a pause of 0.6 s, beyond the two seconds in which all callers are to be served again.
+TEST_CASE("the return of a silent store is noticed in time, even after the longest retry pause")
 {
     following_vm vm;
     vm.store.stopAnswering();
--- a/Tests/platform/retained-items/test.cpp
+++ b/Tests/platform/retained-items/test.cpp
@@ -1,8 +1,6 @@
-// A restored store had forgotten what it had acknowledged in its last seconds, and whoever read it anew went back with it:
-// a server that had left seconds before was listed as ready and got requests ("came to i-5-0 5.04 s after it had said that it
-// leaves or had gone"), one that had been started again was back in its earlier life ("backend_restarted backend=i-6-0
-// incarnation=1070" after 2806), and an entry VM that was restarted beside others read the older configuration from the
-// store, while its peers, at the same revision, knew a newer one.
+// Guards against going back in time with a restored store, which has lost the changes that it acknowledged in its last
+// seconds. A server that had left was listed as ready again and got requests 5 s later, a restarted server was back in its
+// earlier incarnation, and a restarted entry VM read an older configuration than its peers knew at the same revision.
 #include "gateway/fleet_state.h"
 #include "platform/item_decoder.h"
 #include "policy/snapshot_choice.h"
@@ -37,7 +35,7 @@
     return { "servers/i-1", server(state, born), revision, created };
 }
 
-// What an entry VM knows; it hears from others as over the wire.
+// The state of an entry VM, which it reads from the store or merges from other VMs.
 struct vm {
     void readStore(std::vector<published_item> items, store_position position)
     {
@@ -72,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("a confirmed configuration stays in force, and a VM that is started beside those that know it learns it")
+TEST_CASE("a configuration that the restored store has lost stays in force, and a starting VM learns it from peers")
 {
     vm informed;
     informed.readStore({ configurationItem(63, 46) }, { 1, 46 });
@@ -85,7 +83,7 @@
     started.mergeFrom(informed);
     CHECK(started.version() == 63);
     CHECK_FALSE(started.differsFrom(informed));
-    // The operator has written again: nothing has to be retained any more.
+    // Once the operator has published a newer version, nothing is retained any more.
     for (auto* each : { &informed, &started }) {
         each->readStore({ configurationItem(67, 47) }, { 2, 47 });
         CHECK(each->version() == 67);
@@ -93,7 +91,7 @@
     }
 }
 
-TEST_CASE("a server that said that it leaves is not ready again in the same life")
+TEST_CASE("a leaving server does not become ready again in the same incarnation")
 {
     vm informed;
     informed.readStore({ serverItem("ready", 100, 2) }, { 1, 2 });
@@ -106,7 +104,7 @@
     CHECK(informed.open());
 }
 
-TEST_CASE("a server that had gone is not there again because a restored store lists it")
+TEST_CASE("a server that had gone is not used again because a restored store lists it")
 {
     vm informed;
     informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 1, 2 });
@@ -118,12 +116,12 @@
     CHECK(started.differsFrom(informed));
     started.mergeFrom(informed);
     CHECK_FALSE(started.open());
-    // It lives after all, and has listed itself anew.
+    // The server is alive after all and has written its entry again.
     informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 5, 5) }, { 2, 5 });
     CHECK(informed.open());
 }
 
-TEST_CASE("a server that was started again is not back in its earlier life")
+TEST_CASE("a restarted server does not return to its earlier incarnation")
 {
     vm informed;
     int restarts = 0;
@@ -137,7 +135,7 @@
     CHECK(restarts == 1);
 }
 
-TEST_CASE("a server that had listed itself in the lost seconds is kept until it does so again")
+TEST_CASE("a server whose first entry the restored store has lost is kept until it writes it again")
 {
     vm informed;
     informed.readStore({ configurationItem(1, 1) }, { 1, 2 });
@@ -146,7 +144,7 @@
     CHECK(informed.open());
 }
 
-TEST_CASE("a server that only the VM remembers takes no address from one that the store lists")
+TEST_CASE("a retained server does not take its address from a server that the store lists")
 {
     vm informed;
     informed.readStore({ configurationItem(1, 1) }, { 1, 2 });
@@ -157,10 +155,9 @@
     CHECK(informed.state.backends().open("i-2"));
 }
 
-// An entry VM had been suspended while the store was restored, listed it by itself as it went on, and kept a server that had
-// gone 2 s before for two more ("dependency_regained lost_ms=4571", "backend_unlisted ... doubt_ms=1849 outcome=kept for now",
-// a request there 1.2 s later), though its peers had seen the store back all the while.
-TEST_CASE("a VM that finds a store restored keeps entries only for as long after the return as its peers")
+// An entry VM that had been suspended while the store was restored listed it when it resumed. It kept a server that had
+// gone 2 s before for two more seconds and sent it a request, though its peers had known of the store's return all along.
+TEST_CASE("a VM that finds a restoration late keeps missing servers no longer than its peers do")
 {
     vm resumed;
     resumed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 2) }, { 1, 2 });
@@ -177,7 +174,7 @@
     CHECK_FALSE(resumed.open());
 }
 
-TEST_CASE("a proof of a peer that knows less proves nothing for one that knows more, nor the other way round")
+TEST_CASE("freshness is only taken over from a peer that retains the same items")
 {
     vm informed;
     informed.readStore({ configurationItem(63, 46) }, { 1, 46 });
@@ -193,7 +190,7 @@
     CHECK(started.state.published().provenAt() == later);
 }
 
-TEST_CASE("a reading right after the restoration proves nothing until peers had time to tell what they know")
+TEST_CASE("a reading right after a restoration is not fresh until peers had time to report what they retain")
 {
     vm reader;
     reader.readStore({ configurationItem(61, 44) }, { 1, 46 });
@@ -203,7 +200,7 @@
     CHECK(reader.state.published().provenAt() == before);
 }
 
-TEST_CASE("whatever is lost, read, restarted and told: no VM goes back, and all agree once they have told each other")
+TEST_CASE("in any order of writes, restorations, readings and exchanges no VM goes back, and all agree in the end")
 {
     CHECK(rc::check([] {
         std::vector<vm> vms(3);
--- a/Tests/platform/snapshots/test.cpp
+++ b/Tests/platform/snapshots/test.cpp
@@ -1,5 +1,5 @@
-// How the state of the fleet travels: compressed, whole or not at all, and from the own zone
-// where that has it.
+// Transfer of the fleet's state: snapshots are compressed and accepted only as a whole, and are fetched
+// from a peer of the own zone if one has them in time.
 #include "gateway/snapshot_codec.h"
 
 #include "gateway.pb.h"
@@ -14,7 +14,7 @@
 constexpr std::size_t largest = 1'000'000;
 const instant zero {};
 
-// Of a store that was never restored.
+// The summary of a state whose store was never restored.
 constexpr state_summary at(store_revision revision)
 {
     return { { 0, revision }, 0 };
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("a snapshot is the same after its way, and a large one a fraction of its size")
+TEST_CASE("a snapshot is unpacked unchanged, and a large one is compressed to a fraction of its size")
 {
     const auto sent = snapshotOf(400);
     const auto packed = packSnapshot(sent);
@@ -43,7 +43,7 @@
     CHECK(received->SerializeAsString() == sent.SerializeAsString());
 }
 
-TEST_CASE("what is cut, foreign or too large is no snapshot")
+TEST_CASE("truncated, foreign and too large bytes are rejected")
 {
     const auto packed = packSnapshot(snapshotOf(400));
     CHECK_FALSE(unpackSnapshot(packed.substr(0, packed.size() / 2), largest));
@@ -52,14 +52,14 @@
     CHECK(rc::check([&packed] {
         auto broken = packed;
         broken[*rc::gen::inRange<std::size_t>(0, broken.size())] = *rc::gen::arbitrary<char>();
-        // Never more than was sent, whatever the bytes are.
+        // Whatever the bytes are, the result stays within the limit.
         const auto received = unpackSnapshot(broken, largest);
         if (received)
             RC_ASSERT(received->ByteSizeLong() <= largest);
     }));
 }
 
-TEST_CASE("a change that the own zone has is fetched there at once")
+TEST_CASE("a change that a peer of the own zone has is fetched from it at once")
 {
     snapshot_choice choice;
     CHECK(choice.noteTold("far", false, at(8), at(7), zero) == std::nullopt);
@@ -67,19 +67,19 @@
     CHECK(choice.due({ 0, 8 }, zero + milliseconds(900)) == std::nullopt);
 }
 
-TEST_CASE("a change that the own zone does not get is fetched from another in time")
+TEST_CASE("a change that no peer of the own zone has in time is fetched from another zone")
 {
     snapshot_choice choice;
     CHECK(choice.noteTold("far", false, at(8), at(7), zero) == std::nullopt);
     CHECK(choice.due({ 0, 7 }, zero + milliseconds(399)) == std::nullopt);
     CHECK(choice.due({ 0, 7 }, zero + milliseconds(400)) == "far");
     CHECK(choice.noteTold("farther", false, at(9), at(7), zero + milliseconds(450)) == "farther");
-    // The wait is for each change anew, not for each that comes while one is missing.
+    // The wait starts again for a new change only after the missing ones were fetched.
     CHECK(choice.noteTold("far", false, at(10), at(9), zero + milliseconds(500)) == std::nullopt);
     CHECK(choice.due({ 0, 9 }, zero + milliseconds(900)) == "far");
 }
 
-TEST_CASE("a process that holds nothing fetches from whoever it hears")
+TEST_CASE("a process without state fetches it from the first peer that reports some")
 {
     snapshot_choice choice;
     CHECK(choice.noteTold("far", false, at(8), at(0), zero) == "far");
--- a/Tests/platform/start-of-all/test.cpp
+++ b/Tests/platform/start-of-all/test.cpp
@@ -1,5 +1,5 @@
-// Load pattern: all processes end at once, and their callers are back before the first
-// configuration has been read.
+// Load pattern: all processes restart at once, and their callers retry before the first configuration
+// has been read.
 #include "daemon/boot_timer.h"
 #include "gateway/gateway_server.h"
 #include "platform/http_codec.h"
@@ -18,7 +18,7 @@
 
 const std::string configurationText = R"({"version":7,"routes":[{"name":"chat","host":"h","path_prefix":"/a/","type":"streaming","service":"m"}],"services":[{"name":"m","health_path":"/hz"}],"tenants":[{"name":"w","api_keys":["k1"]}]})";
 
-// One request, by default for a path that no configuration has.
+// One request, by default for a path without a route.
 class one_exchange : public http_exchange {
 public:
     explicit one_exchange(const std::string& path = "/nowhere")
@@ -54,7 +54,7 @@
     http_request m_request;
 };
 
-struct starting_process {
+struct starting_entry {
     process_context context { "entry", "a", "entry" };
     decision_log log { "entry", STDERR_FILENO };
     platform::http_codec codec;
@@ -72,9 +72,9 @@
 
 } // namespace
 
-TEST_CASE("a request that comes before the configuration is answered by it")
+TEST_CASE("a request that arrives before the first configuration is answered by it")
 {
-    starting_process process;
+    starting_entry process;
     one_exchange exchange;
     process.serve(exchange);
     boot_timer reading(process.context.io(), milliseconds(60));
@@ -86,9 +86,9 @@
     CHECK(exchange.status == 404);
 }
 
-TEST_CASE("without a configuration the caller is told to come back, and one that left is not waited for")
+TEST_CASE("without a configuration the caller is told to retry, and a disconnected caller is not held")
 {
-    starting_process process;
+    starting_entry process;
     one_exchange waiting;
     one_exchange left;
     left.gone = true;
@@ -99,12 +99,12 @@
     CHECK(process.server.inFlight() == 0);
 }
 
-TEST_CASE("a request whose key cannot be proved waits for the next proof")
+TEST_CASE("a request whose key cannot be verified yet waits until the state is fresh")
 {
-    starting_process process;
+    starting_entry process;
     const published_snapshot snapshot { { { "op/config", configurationText, 3, 3 } }, 3 };
     process.state.applySnapshot(snapshot, process.context.now() - milliseconds(4'000));
-    // Its key is unknown, which can be said only once the proof has come.
+    // Its key is unknown, which can only be answered once the state is known to be fresh.
     one_exchange exchange("/a/x");
     process.serve(exchange);
     boot_timer proof(process.context.io(), milliseconds(60));
@@ -116,9 +116,9 @@
     CHECK(exchange.status == 401);
 }
 
-TEST_CASE("when proofs have been missing for long nobody is held")
+TEST_CASE("callers are not held once the state has been stale for long")
 {
-    starting_process process;
+    starting_entry process;
     const published_snapshot snapshot { { { "op/config", configurationText, 3, 3 } }, 3 };
     process.state.applySnapshot(snapshot, process.context.now() - milliseconds(30'000));
     one_exchange exchange("/a/x");
