--- a/Source/gateway/store_follower.cpp
+++ b/Source/gateway/store_follower.cpp
@@ -73,7 +73,7 @@
 }
 
 // Load pattern: after an outage all of 390 VMs watch the store and find it restored within 0.6 s.
-// A listing takes five calls with 2,000 servers, which makes 2,300 calls, above the 2,000 per second
+// A listing takes five calls with 2,000 servers, 2,300 calls in all, above the 2,000 per second
 // that the store allows. Left to one reader per zone first, it takes about 50.
 awaitable<bool> store_follower::awaitPeerListing()
 {
