--- a/Source/gateway/peer_wire.cpp
+++ b/Source/gateway/peer_wire.cpp
@@ -8,8 +8,8 @@
 namespace {
 
     constexpr double percent = 100;
-    // Each takes up to 9 bytes, a slow one 11, and the rest of a datagram some 150; a packet
-    // holds 1,472.
+    // A rank takes up to 9 bytes, a slow one 11, and the rest of a datagram about 150; a packet holds
+    // 1,472.
     constexpr std::size_t ranksPerDatagram = 135;
 
     std::uint32_t toPercent(double value)
@@ -17,7 +17,7 @@
         return static_cast<std::uint32_t>(value * percent);
     }
 
-    gateway::peer_datagram withoutRanks(const gateway::peer_datagram& common, const ranks_report& report)
+    gateway::peer_datagram withoutRanks(const gateway::peer_datagram& common, const rank_load_report& report)
     {
         gateway::peer_datagram datagram = common;
         datagram.mutable_ranks_group()->set_service(report.group.service);
@@ -71,17 +71,17 @@
 
 void addGroups(gateway::peer_datagram& datagram, const std::vector<std::pair<group_update, milliseconds>>& all)
 {
-    for (const auto& [news, age] : all) {
+    for (const auto& [state, age] : all) {
         auto* added = datagram.add_groups();
-        added->set_group(news.key.group);
-        added->set_service(news.key.service);
-        added->set_epoch(news.phase.epoch);
-        added->set_open(news.phase.open);
+        added->set_group(state.key.group);
+        added->set_service(state.key.service);
+        added->set_epoch(state.phase.epoch);
+        added->set_open(state.phase.open);
         added->set_age_ms(static_cast<std::uint32_t>(age.count()));
     }
 }
 
-std::vector<gateway::peer_datagram> rankDatagrams(const gateway::peer_datagram& common, const ranks_report& report)
+std::vector<gateway::peer_datagram> rankDatagrams(const gateway::peer_datagram& common, const rank_load_report& report)
 {
     std::vector<gateway::peer_datagram> all { withoutRanks(common, report) };
     for (const auto& [hash, load] : report.loads) {
@@ -96,9 +96,9 @@
     return all;
 }
 
-ranks_report ranksOf(const gateway::peer_datagram& datagram)
+rank_load_report ranksOf(const gateway::peer_datagram& datagram)
 {
-    ranks_report report;
+    rank_load_report report;
     report.group = { datagram.ranks_group().service(), datagram.ranks_group().group() };
     report.slowdown = { datagram.ranks_skew_percent() / percent, datagram.ranks_slowest_pace_percent() / percent };
     for (const auto& work : datagram.ranks())
--- a/Tests/platform/restored-store/test.cpp
+++ b/Tests/platform/restored-store/test.cpp
@@ -1,8 +1,7 @@
-// The metadata store was restored from a copy some seconds old and gave out its revisions again. An entry VM that held
-// revision 35 refused every listing as older, asked again at once, and when the count had passed 35 watched on from there:
-// what had been written below never reached it, and a server that had said that it leaves got requests for 2.5 s more. Its
-// log had "store_epoch_seen epoch=2 before=1 revision=31 held=35", "listing_refused epoch=2 revision=31 held=35" a hundred
-// times a second, and then "configuration_in_force version=28 revision=36" without what came between.
+// Guards against missing changes after the metadata store is restored from an older copy and reuses revision numbers. An
+// entry VM at revision 35 refused the restored store's listings as older (revision 31), requested them again a hundred times
+// a second, and went on watching once the count had passed 35. So it missed what was written below 35, and sent requests to
+// a leaving server for 2.5 s more.
 #include "daemon/boot_timer.h"
 #include "gateway/store_follower.h"
 #include "platform/item_decoder.h"
@@ -20,14 +19,14 @@
 
 namespace asio = boost::asio;
 
-// The users' bound on what is written after the return.
-constexpr milliseconds inForceWithin { 2'000 };
+// The users' bound on applying what is written after the store's return.
+constexpr milliseconds appliedWithin { 2'000 };
 constexpr milliseconds watchWait { 800 };
 constexpr milliseconds poll { 5 };
-// How much longer than its wait the adapter gives a watch.
+// The adapter's timeout of a watch beyond its wait.
 constexpr milliseconds answerMargin { 1'000 };
-// Each of 390 VMs may ask five times a second; twice the bound, and one more for each of four writes.
-constexpr int mostReadings = 14;
+// Each of 390 VMs may read five times per second; in two seconds, plus one read for each of four writes.
+constexpr int maxReadings = 14;
 
 std::string configuration(int version)
 {
@@ -43,7 +42,7 @@
 const std::string configurationKey = "op/config";
 const std::string serverKey = "servers/i-1";
 
-// A store in memory that can be restored from a copy of itself.
+// An in-memory store that can be restored from a copy of itself.
 class restorable_store : public published_source {
 public:
     explicit restorable_store(asio::io_context& io)
@@ -53,22 +52,22 @@
 
     void put(const std::string& key, const std::string& value)
     {
-        const store_revision revision = ++m_held.revision;
-        const auto before = m_held.items.find(key);
-        const published_item item { key, value, revision, before == m_held.items.end() ? revision : before->second.created };
-        m_held.items[key] = item;
-        m_held.log.push_back({ item, false });
+        const store_revision revision = ++m_contents.revision;
+        const auto before = m_contents.items.find(key);
+        const published_item item { key, value, revision, before == m_contents.items.end() ? revision : before->second.created };
+        m_contents.items[key] = item;
+        m_contents.log.push_back({ item, false });
     }
-    void copy() { m_copy = m_held; }
-    // Takes readings and answers none of them, also not later on.
-    void fallSilent() { m_silent = true; }
-    void speakAgain() { m_silent = false; }
+    void copy() { m_copy = m_contents; }
+    // Accepts calls and never answers them, not even later.
+    void stopAnswering() { m_silent = true; }
+    void resumeAnswering() { m_silent = false; }
     void restore()
     {
-        m_held = m_copy;
+        m_contents = m_copy;
         ++m_epoch;
     }
-    store_revision revision() const { return m_held.revision; }
+    store_revision revision() const { return m_contents.revision; }
     int readings() const { return m_readings; }
     int listings() const { return m_listings; }
     store_epoch epoch() const { return m_epoch; }
@@ -76,11 +75,11 @@
     awaitable<result<published_snapshot>> readAll() override
     {
         ++m_listings;
-        co_await answerTime();
+        co_await delayAnswer();
         published_snapshot listing;
-        listing.revision = m_held.revision;
+        listing.revision = m_contents.revision;
         listing.epoch = m_epoch;
-        for (const auto& [key, item] : m_held.items)
+        for (const auto& [key, item] : m_contents.items)
             listing.items.push_back(item);
         co_return listing;
     }
@@ -95,16 +94,16 @@
             co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
             co_return notRun(failure_reason::deadline, "no answer");
         }
-        co_await answerTime();
-        while (after == m_held.revision && epoch == m_epoch && boot_clock::now() < until) {
+        co_await delayAnswer();
+        while (after == m_contents.revision && epoch == m_epoch && boot_clock::now() < until) {
             boot_timer timer(m_io, poll);
             co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         }
         published_update update;
-        update.revision = m_held.revision;
+        update.revision = m_contents.revision;
         update.epoch = m_epoch;
-        update.historyLost = after > m_held.revision;
-        for (const auto& change : m_held.log) {
+        update.historyLost = after > m_contents.revision;
+        for (const auto& change : m_contents.log) {
             if (!update.historyLost && change.item.revision > after)
                 update.changes.push_back(change);
         }
@@ -112,7 +111,7 @@
     }
 
 private:
-    awaitable<void> answerTime()
+    awaitable<void> delayAnswer()
     {
         ++m_readings;
         boot_timer timer(m_io, poll);
@@ -126,7 +125,7 @@
     };
 
     asio::io_context& m_io;
-    contents m_held;
+    contents m_contents;
     contents m_copy;
     store_epoch m_epoch = 1;
     int m_readings = 0;
@@ -134,7 +133,7 @@
     bool m_silent = false;
 };
 
-// An entry VM that follows the store; `runUntil` lets time pass.
+// An entry VM that follows the store; `runUntil` runs it in real time.
 struct following_vm {
     following_vm()
     {
@@ -149,7 +148,7 @@
 
     bool runUntil(const std::function<bool()>& reached)
     {
-        const instant end = context.now() + inForceWithin;
+        const instant end = context.now() + appliedWithin;
         while (!reached() && context.now() < end) {
             context.io().restart();
             context.io().run_for(poll);
@@ -169,7 +168,7 @@
 
 } // namespace
 
-TEST_CASE("what is written below the old mark of a restored store is in force")
+TEST_CASE("changes below the revision that was seen before a restoration are applied")
 {
     following_vm vm;
     const int before = vm.store.readings();
@@ -179,10 +178,10 @@
     CHECK(vm.runUntil([&] { return vm.serverDrains(); }));
     CHECK(vm.version() == 4);
     vm.runUntil([] { return false; });
-    CHECK(vm.store.readings() - before <= mostReadings);
+    CHECK(vm.store.readings() - before <= maxReadings);
 }
 
-TEST_CASE("what is written up to and past the old mark of a restored store is in force")
+TEST_CASE("changes up to and beyond the revision that was seen before a restoration are applied")
 {
     for (const int last : { 5, 6, 7, 8 }) {
         CAPTURE(last);
@@ -207,7 +206,7 @@
     CHECK(vm.runUntil([&] { return vm.version() == 6 && vm.serverDrains(); }));
 }
 
-TEST_CASE("a server that has said that it leaves gets nothing more when the store forgets it")
+TEST_CASE("a leaving server gets no more requests after the restored store has lost that it leaves")
 {
     following_vm vm;
     vm.store.put(serverKey, server("draining"));
@@ -218,24 +217,24 @@
     CHECK(vm.serverDrains());
 }
 
-TEST_CASE("a VM for which others read leaves the listing of a restored store to them, and lists it if they do not")
+TEST_CASE("a VM with other readers leaves the listing of a restored store to them, and lists it if they do not")
 {
     following_vm vm;
     const int before = vm.store.listings();
     vm.follower.setReadersBeside([] { return true; });
     vm.store.restore();
-    SUBCASE("a peer brings it")
+    SUBCASE("a peer sends the listing")
     {
         vm.runUntil([&, until = vm.context.now() + milliseconds(50)] { return vm.context.now() >= until; });
-        peer_state told;
-        told.summary = { { vm.store.epoch(), vm.store.revision() }, 0 };
-        told.delta = { { { configurationKey, configuration(1), 1, 1 } }, { configurationKey }, told.summary.position };
-        vm.state.take(told, "peer");
+        peer_state peer;
+        peer.summary = { { vm.store.epoch(), vm.store.revision() }, 0 };
+        peer.delta = { { { configurationKey, configuration(1), 1, 1 } }, { configurationKey }, peer.summary.position };
+        vm.state.mergePeer(peer, "peer");
         vm.store.put(configurationKey, configuration(5));
         CHECK(vm.runUntil([&] { return vm.version() == 5; }));
         CHECK(vm.store.listings() == before);
     }
-    SUBCASE("nobody does")
+    SUBCASE("no peer sends the listing")
     {
         vm.store.put(configurationKey, configuration(5));
         CHECK(vm.runUntil([&] { return vm.version() == 5; }));
@@ -243,12 +242,12 @@
     }
 }
 
-// A reading that the silent store took right before its return is never answered: it was given up 1.8 s later, and the next
-// one followed after a pause of 0.6 s, beyond the two seconds in which all are to be served.
-TEST_CASE("a store that had fallen silent is found in time, whenever it is back")
+// A call that a silent store received right before its return is never answered. It timed out 1.8 s later and the next one
+// followed after a pause of 0.6 s, beyond the two seconds in which all callers are to be served again.
+TEST_CASE("the return of a silent store is noticed in time, even after the longest retry pause")
 {
     following_vm vm;
-    vm.store.fallSilent();
+    vm.store.stopAnswering();
     const int before = vm.store.readings();
     constexpr int untilLongestPause = 4;
     const instant end = vm.context.now() + milliseconds(20'000);
@@ -257,6 +256,6 @@
     REQUIRE(vm.store.readings() - before > untilLongestPause);
     vm.store.restore();
     vm.store.put(configurationKey, configuration(5));
-    vm.store.speakAgain();
+    vm.store.resumeAnswering();
     CHECK(vm.runUntil([&] { return vm.version() == 5; }));
 }
