--- a/Source/entry/request_dispatcher.h
+++ b/Source/entry/request_dispatcher.h
@@ -32,7 +32,7 @@
 
 private:
     // How one try ended. Without a failure the caller has its answer or is gone.
-    struct try_outcome {
+    struct attempt_outcome {
         std::optional<failure> failed;
         backend_id backend = noBackend;
     };
--- a/Source/gateway/agent_process.cpp
+++ b/Source/gateway/agent_process.cpp
@@ -47,8 +47,8 @@
     , m_settings(std::move(settings))
     , m_port(port)
     , m_state(context, log, decoder, keepLapsedFor)
-    , m_loads(loadReportLife)
-    , m_groups(groupNewsLife)
+    , m_loads(loadReportLifetime)
+    , m_groups(groupUpdateLifetime)
     , m_link(context, log, port, static_cast<unsigned short>(m_settings.firstPeerPort + callPortOffset), m_settings.engineAddress)
     , m_leader(context, log, m_state, m_link, m_roster, m_settings.linkMbps)
     , m_socket(context.io())
@@ -165,7 +165,7 @@
         recordOwnGroup(view.value(), own->id);
         m_peers->publishGroupState({ { m_settings.engineService, m_group }, { view.value().epoch, view.value().open } });
         requestUnknownGroups(own->id);
-        if (m_leadership.inDoubt(m_context.now()))
+        if (m_leadership.leaderOverdue(m_context.now()))
             requestLeader(own->id);
     }
 }
@@ -177,7 +177,7 @@
 {
     if (m_group.empty())
         co_return;
-    const auto probed = co_await lookAtServer(m_context.io(), m_settings.engineAddress, m_port.makePing());
+    const auto probed = co_await lookAtServer(m_context.io(), m_settings.engineAddress, m_port.makeProbe());
     if (probed.sight == server_sight::gone)
         m_peers->publishGroupState({ { m_settings.engineService, m_group }, { m_epoch, false } });
 }
@@ -236,9 +236,9 @@
 
 void agent_process::mergeMembership(const gateway::rank_membership& membership, const udp::endpoint& from)
 {
-    m_roster.note(membership.backend_id(), membership.group(), m_context.now());
+    m_roster.recordGroup(membership.backend_id(), membership.group(), m_context.now());
     if (membership.group() == m_group && !membership.leader().empty())
-        m_leadership.noteCalled(membership.leader(), m_context.now() - milliseconds(membership.leader_age_ms()));
+        m_leadership.recordCall(membership.leader(), m_context.now() - milliseconds(membership.leader_age_ms()));
     const auto* asker = m_state.backends().findByHost(from.address().to_string(), m_settings.engineService);
     const auto* own = ownBackend();
     if (membership.wants_reply() && asker && own && !m_group.empty())
--- a/Source/gateway/crash_gossip.cpp
+++ b/Source/gateway/crash_gossip.cpp
@@ -33,7 +33,7 @@
 
 void crash_gossip::publish()
 {
-    if (m_publishing || !m_history.hasNews())
+    if (m_publishing || !m_history.hasUpdates())
         return;
     m_publishing = true;
     asio::co_spawn(m_context.io(), publishLoop(), asio::detached);
--- a/Source/gateway/crash_reporter.cpp
+++ b/Source/gateway/crash_reporter.cpp
@@ -26,11 +26,11 @@
 {
     if (!isCrashPossible(backend))
         return;
-    const server_life incarnation = incarnationOf(backend);
+    const server_incarnation incarnation = incarnationOf(backend);
     m_addresses.insert_or_assign(incarnation, backend.address);
     // Whatever listens there now says nothing about the earlier incarnation.
     recordIfRestarted(incarnation, backend.address);
-    m_watch.noteLost(incarnation, backend.address, call);
+    m_watch.recordLost(incarnation, backend.address, call);
 }
 
 void crash_reporter::recordWithdrawnCall(const listed_backend& backend, const lost_call& call)
@@ -38,7 +38,7 @@
     if (!isCrashPossible(backend))
         return;
     m_addresses.insert_or_assign(incarnationOf(backend), backend.address);
-    m_watch.noteWithdrawn(incarnationOf(backend), call);
+    m_watch.recordWithdrawn(incarnationOf(backend), call);
 }
 
 void crash_reporter::recordRefusedConnection(const listed_backend& backend)
@@ -50,27 +50,27 @@
 void crash_reporter::recordPeerReport(std::uint32_t incarnationHash)
 {
     if (const auto incarnation = m_watch.findUndecided(incarnationHash))
-        m_watch.noteCrashed(*incarnation, m_addresses.at(*incarnation), "another process reported its end");
+        m_watch.recordCrashed(*incarnation, m_addresses.at(*incarnation), "another process reported its end");
 }
 
 void crash_reporter::recordServed(request_fingerprint request)
 {
-    m_history.noteServed(request, m_context.now());
+    m_history.recordServed(request, m_context.now());
     notifyUpdate();
 }
 
-void crash_reporter::onServerCrashed(const server_life& incarnation, const std::string& address, const std::string& why, std::size_t calls)
+void crash_reporter::onServerCrashed(const server_incarnation& incarnation, const std::string& address, const std::string& why, std::size_t calls)
 {
     m_log.line("server_crashed").add("backend", incarnation.id).add("address", address).add("incarnation", incarnation.incarnation).add("reason", why).add("calls", calls);
 }
 
-void crash_reporter::onCallCrashed(const server_life& incarnation, const lost_call& call)
+void crash_reporter::onCallCrashed(const server_incarnation& incarnation, const lost_call& call)
 {
     m_log.requestLine("call_crashed").add("request", call.requestId).add("fingerprint", toString(call.request)).add("backend", incarnation.id).add("ran_ms", call.lostAt - call.sentAt).add("events", call.events);
     notifyUpdate();
 }
 
-void crash_reporter::onLookUnanswered(const server_life& incarnation, const std::string& address, const std::string& reason)
+void crash_reporter::onLookUnanswered(const server_incarnation& incarnation, const std::string& address, const std::string& reason)
 {
     m_log.line("look_unanswered").add("backend", incarnation.id).add("address", address).add("reason", reason);
 }
@@ -81,7 +81,7 @@
         m_onUpdate();
 }
 
-bool crash_reporter::hasRestarted(const server_life& incarnation, const std::string& address) const
+bool crash_reporter::hasRestarted(const server_incarnation& incarnation, const std::string& address) const
 {
     const auto* listed = m_state.backends().find(incarnation.id);
     if (listed && listed->incarnation != incarnation.incarnation)
@@ -90,15 +90,15 @@
     return successor && successor->id != incarnation.id;
 }
 
-void crash_reporter::recordIfRestarted(const server_life& incarnation, const std::string& address)
+void crash_reporter::recordIfRestarted(const server_incarnation& incarnation, const std::string& address)
 {
     if (hasRestarted(incarnation, address))
-        m_watch.noteCrashed(incarnation, address, "it was restarted");
+        m_watch.recordCrashed(incarnation, address, "it was restarted");
 }
 
 void crash_reporter::logBlocked()
 {
-    const auto blocked = m_history.barred(m_context.now());
+    const auto blocked = m_history.blocked(m_context.now());
     const std::set<request_fingerprint> now(blocked.begin(), blocked.end());
     std::set<request_fingerprint> seen;
     for (const auto& [record, age] : m_history.repeated(m_context.now())) {
@@ -118,7 +118,7 @@
     for (const auto& incarnation : m_watch.undecided())
         recordIfRestarted(incarnation, m_addresses.at(incarnation));
     m_watch.settle();
-    m_history.settle(m_context.now());
+    m_history.expire(m_context.now());
     logBlocked();
     const auto undecided = m_watch.undecided();
     std::erase_if(m_addresses, [&undecided](const auto& entry) { return std::find(undecided.begin(), undecided.end(), entry.first) == undecided.end(); });
--- a/Source/gateway/crash_reporter.h
+++ b/Source/gateway/crash_reporter.h
@@ -24,7 +24,7 @@
     // A connection to the server was refused: nothing listened at its address.
     void recordRefusedConnection(const listed_backend&);
     // The first part of the answer to a call sent at `sentAt` has arrived.
-    void recordAnswer(const listed_backend& backend, instant sentAt) { m_watch.noteAnswered(incarnationOf(backend), sentAt); }
+    void recordAnswer(const listed_backend& backend, instant sentAt) { m_watch.recordAnswered(incarnationOf(backend), sentAt); }
     // Returns when the server is known to have crashed or has answered, or when this cannot be
     // determined now.
     awaitable<void> awaitProbe(const listed_backend& backend) { return m_watch.awaitLook(incarnationOf(backend)); }
@@ -35,17 +35,17 @@
     void runPeriodicWork();
 
 private:
-    static server_life incarnationOf(const listed_backend& backend) { return { backend.id, backend.incarnation }; }
+    static server_incarnation incarnationOf(const listed_backend& backend) { return { backend.id, backend.incarnation }; }
     // False for a server that is leaving: it ends its calls for another reason than a crash.
     bool isCrashPossible(const listed_backend&) const;
     // Another process saw the end of the incarnation with this hash.
     void recordPeerReport(std::uint32_t incarnationHash);
-    void onServerCrashed(const server_life&, const std::string& address, const std::string& why, std::size_t calls) override;
-    void onCallCrashed(const server_life&, const lost_call&) override;
-    void onLookUnanswered(const server_life&, const std::string& address, const std::string& reason) override;
+    void onServerCrashed(const server_incarnation&, const std::string& address, const std::string& why, std::size_t calls) override;
+    void onCallCrashed(const server_incarnation&, const lost_call&) override;
+    void onLookUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) override;
     // True if a later incarnation is listed under its id, or another server at its address.
-    bool hasRestarted(const server_life&, const std::string& address) const;
-    void recordIfRestarted(const server_life&, const std::string& address);
+    bool hasRestarted(const server_incarnation&, const std::string& address) const;
+    void recordIfRestarted(const server_incarnation&, const std::string& address);
     void logBlocked();
     void notifyUpdate();
 
@@ -56,7 +56,7 @@
     crash_watch m_watch;
     std::function<void()> m_onUpdate;
     // Addresses of the servers at which calls were lost or withdrawn.
-    std::map<server_life, std::string> m_addresses;
+    std::map<server_incarnation, std::string> m_addresses;
     // The blocked requests as last logged.
     std::set<request_fingerprint> m_blocked;
 };
--- a/Source/gateway/choice_codec.cpp
+++ b/Source/gateway/expert_count_codec.cpp
@@ -1,4 +1,4 @@
-#include "gateway/choice_codec.h"
+#include "gateway/expert_count_codec.h"
 
 #include <algorithm>
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-std::string packChoices(const std::vector<std::uint64_t>& choices)
+std::string packExpertCounts(const std::vector<std::uint64_t>& choices)
 {
     if (choices.empty())
         return {};
@@ -27,7 +27,7 @@
     return bytes;
 }
 
-std::optional<std::vector<std::uint64_t>> unpackChoices(std::string_view bytes)
+std::optional<std::vector<std::uint64_t>> unpackExpertCounts(std::string_view bytes)
 {
     if (bytes.empty())
         return std::vector<std::uint64_t>();
@@ -43,7 +43,7 @@
     return choices;
 }
 
-void addChoices(std::vector<std::uint64_t>& sum, const std::vector<std::uint64_t>& more)
+void addExpertCounts(std::vector<std::uint64_t>& sum, const std::vector<std::uint64_t>& more)
 {
     if (sum.empty()) {
         sum = more;
--- a/Source/gateway/fleet_decoder.cpp
+++ b/Source/gateway/fleet_decoder.cpp
@@ -18,7 +18,7 @@
 
 // A configuration is kept when its item is missing, since without one no request is served. A server
 // is not: without an item it is gone, or soon writes its item again.
-bool fleet_decoder::holdsUnlisted(const published_item& item) const
+bool fleet_decoder::staysInForceUnlisted(const published_item& item) const
 {
     return isConfiguration(item.key);
 }
--- a/Source/gateway/fleet_state.cpp
+++ b/Source/gateway/fleet_state.cpp
@@ -37,14 +37,14 @@
     if (snapshot.position() < m_published.position())
         return false;
     recordEpoch(snapshot.position(), m_context.now());
-    apply(m_published.take(snapshot, removalMeaning()), "store");
+    apply(m_published.apply(snapshot, removalMeaning()), "store");
     recordStoreFreshness(snapshot.position(), askedAt);
     return true;
 }
 
 void fleet_state::applyUpdate(const published_update& update, store_position from, instant askedAt)
 {
-    apply(m_published.take(update.changes, from, update.revision, removalMeaning()), "store");
+    apply(m_published.apply(update.changes, from, update.revision, removalMeaning()), "store");
     recordStoreFreshness({ from.epoch, update.revision }, askedAt);
 }
 
@@ -53,42 +53,42 @@
     const instant now = m_context.now();
     // A peer that has followed the store without a break knows which servers are gone, while this
     // process may have been cut off or suspended since the store's return.
-    const bool peerKnows = state.summary.position >= m_published.position() && state.listSettled && state.provenAt && now - *state.provenAt < minLapseTime;
+    const bool peerKnows = state.summary.position >= m_published.position() && state.listSettled && state.freshAsOf && now - *state.freshAsOf < minLapseTime;
     m_listUncertainUntil = peerKnows ? now : std::max(m_listUncertainUntil, now + state.listUncertainFor);
     if (state.delta.position > m_published.position())
         recordEpoch(state.delta.position, state.restoredAt.value_or(now));
     const std::string source = "peer " + peer;
-    auto changes = m_published.take(state.delta, removalMeaning());
+    auto changes = m_published.apply(state.delta, removalMeaning());
     if (state.restoredAt)
-        notePeerRestored(state.summary.position.epoch, *state.restoredAt);
+        mergePeerRestoration(state.summary.position.epoch, *state.restoredAt);
     const bool listSettled = !m_restoredAt || now - *m_restoredAt >= listSettlesWithin;
     // Items that the peer retains replace those that it read from the store, from the start.
-    for (auto& retained : m_published.join(state.retained, listSettled)) {
+    for (auto& retained : m_published.mergeRetained(state.retained, listSettled)) {
         std::erase_if(changes, [&retained](const published_change& read) { return read.item.key == retained.item.key; });
         changes.push_back(std::move(retained));
     }
     apply(changes, source);
-    if (state.provenAt)
-        notePeerProof(state.summary, *state.provenAt);
+    if (state.freshAsOf)
+        mergePeerFreshness(state.summary, *state.freshAsOf);
 }
 
 // Two processes at the same position may retain different items that the store has lost: the
 // freshness of one holds only for a process with the same summary.
-void fleet_state::notePeerProof(const state_summary& peer, instant provenAt)
+void fleet_state::mergePeerFreshness(const state_summary& peer, instant freshAsOf)
 {
     if (peer == summary())
-        m_published.noteProof(peer.position, provenAt);
+        m_published.recordFreshness(peer.position, freshAsOf);
 }
 
 // A process that finds the restoration late, since it was suspended or cut off, need not wait the
 // whole time again for servers that its peers have found to be gone.
-void fleet_state::notePeerRestored(store_epoch epoch, instant restoredAt)
+void fleet_state::mergePeerRestoration(store_epoch epoch, instant restoredAt)
 {
     if (epoch != m_published.position().epoch || restoredAt >= m_restoredAt.value_or(instant::max()))
         return;
     m_restoredAt = restoredAt;
     m_listUncertainUntil = std::min(m_listUncertainUntil, restoredAt + lapsedEntriesReturnWithin);
-    m_backends.keepNoLongerThan(m_listUncertainUntil);
+    m_backends.limitRetention(m_listUncertainUntil);
 }
 
 void fleet_state::recordEpoch(store_position next, instant seenAt)
@@ -111,13 +111,13 @@
 {
     if (!m_pendingFreshness || (m_restoredAt && m_context.now() - *m_restoredAt < peersReportWithin))
         return;
-    m_published.noteProof(m_pendingFreshness->position, m_pendingFreshness->askedAt);
+    m_published.recordFreshness(m_pendingFreshness->position, m_pendingFreshness->askedAt);
     m_pendingFreshness.reset();
 }
 
 removal fleet_state::removalMeaning() const
 {
-    return listDoubt() > milliseconds(0) ? removal::doubtful : removal::gone;
+    return listUncertainFor() > milliseconds(0) ? removal::doubtful : removal::gone;
 }
 
 void fleet_state::recordStoreUnavailable(const std::string& why)
@@ -149,7 +149,7 @@
 
 bool fleet_state::listSettled() const
 {
-    return m_followingSince && m_context.now() - *m_followingSince >= lapsedEntriesReturnWithin && listDoubt() == milliseconds(0);
+    return m_followingSince && m_context.now() - *m_followingSince >= lapsedEntriesReturnWithin && listUncertainFor() == milliseconds(0);
 }
 
 std::optional<milliseconds> fleet_state::freshnessAge() const
@@ -160,7 +160,7 @@
     return std::chrono::duration_cast<milliseconds>(m_context.now() - *proven);
 }
 
-milliseconds fleet_state::listDoubt() const
+milliseconds fleet_state::listUncertainFor() const
 {
     return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(m_listUncertainUntil - m_context.now()));
 }
@@ -208,9 +208,9 @@
 {
     const std::string id = m_decoder.backendId(change.item.key);
     if (change.removed) {
-        const bool isUncertain = listDoubt() > milliseconds(0) && !change.retained;
+        const bool isUncertain = listUncertainFor() > milliseconds(0) && !change.retained;
         m_backends.unlist(id, m_context.now(), isUncertain ? m_listUncertainUntil : m_context.now());
-        m_log.line("backend_unlisted").add("backend", id).add("source", source).add("doubt_ms", listDoubt()).add("outcome", isUncertain ? "kept for now" : "removed");
+        m_log.line("backend_unlisted").add("backend", id).add("source", source).add("doubt_ms", listUncertainFor()).add("outcome", isUncertain ? "kept for now" : "removed");
         return;
     }
     auto decoded = m_decoder.backend(change.item);
--- a/Source/gateway/fleet_state.h
+++ b/Source/gateway/fleet_state.h
@@ -17,7 +17,7 @@
     // Of the peer's whole state.
     state_summary summary;
     // When the peer's state was known to be current.
-    std::optional<instant> provenAt;
+    std::optional<instant> freshAsOf;
     // For how much longer the peer itself keeps servers that are missing from the list.
     milliseconds listUncertainFor { 0 };
     bool listSettled = false;
@@ -35,10 +35,10 @@
     // Applies changes of the store; `from`: the position after which they were requested.
     void applyUpdate(const published_update&, store_position from, instant askedAt);
     void mergePeer(const peer_state&, const std::string& peer);
-    // A peer whose state has the summary `peer` was known to be current at `provenAt`.
-    void notePeerProof(const state_summary& peer, instant provenAt);
+    // A peer whose state has the summary `peer` was known to be current at `freshAsOf`.
+    void mergePeerFreshness(const state_summary& peer, instant freshAsOf);
     // A peer has known since `restoredAt` that the store was restored and began this epoch.
-    void notePeerRestored(store_epoch, instant restoredAt);
+    void mergePeerRestoration(store_epoch, instant restoredAt);
     // The store stopped answering this process, or answers again.
     void recordStoreUnavailable(const std::string& why);
     void recordStoreAvailable();
@@ -53,7 +53,7 @@
     // When the store was first found to be restored; empty if it was not.
     std::optional<instant> restoredAt() const { return m_restoredAt; }
     // For how much longer missing entries may only have lapsed in an outage of the store.
-    milliseconds listDoubt() const;
+    milliseconds listUncertainFor() const;
     // True if the list was followed for long enough that servers missing from it are gone.
     bool listSettled() const;
     bool storeUnavailable() const { return m_storeUnavailableSince.has_value(); }
--- a/Source/gateway/gateway_process.cpp
+++ b/Source/gateway/gateway_process.cpp
@@ -95,11 +95,11 @@
         return opened.error();
     process->m_state.onConfiguration([raw = process.get()] { raw->applyLimits(); });
     process->m_state.onRestart([raw = process.get()](const listed_backend& backend) { raw->m_dispatcher.handleRestart(backend); });
-    process->m_backpressure.limits.onQuestions([raw = process.get()] { raw->m_peers->requestGrants(); });
+    process->m_backpressure.limits.onGrantQuestions([raw = process.get()] { raw->m_peers->requestGrants(); });
     process->m_dispatcher.onCrash([raw = process.get()] { raw->m_peers->publishCrashes(); });
-    process->m_history.setTrialChoice([raw = process.get()](request_fingerprint request) { return raw->m_peers->peers().isPickedEntry(toString(request)); });
+    process->m_history.setIsolatedAttemptFilter([raw = process.get()](request_fingerprint request) { return raw->m_peers->peers().isResponsibleEntry(toString(request)); });
     process->m_follower.setShouldRead([raw = process.get()] { return raw->shouldReadStore(); });
-    process->m_follower.setReadersBeside([raw = process.get()] { return !isReader(raw->m_peers->peers(), {}); });
+    process->m_follower.setOtherReaders([raw = process.get()] { return !isReader(raw->m_peers->peers(), {}); });
     process->m_follower.onUpdate([raw = process.get()] { raw->m_peers->announceState(); });
     process->m_follower.start();
     process->m_peers->start();
@@ -207,7 +207,7 @@
         logReadiness();
         const peer_table& peers = m_peers->peers();
         m_dispatcher.runPeriodicWork();
-        m_dispatcher.setEntryCounts(peers.count(peer_role::entry) + 1, peers.mostEntries());
+        m_dispatcher.setEntryCounts(peers.count(peer_role::entry) + 1, peers.maxLiveEntries());
         if (tick % ticksPerReload == 0)
             reload();
     }
--- a/Source/gateway/gateway_server.cpp
+++ b/Source/gateway/gateway_server.cpp
@@ -1,6 +1,6 @@
 #include "gateway/gateway_server.h"
 
-#include "gateway/held_caller.h"
+#include "gateway/request_wait.h"
 #include "policy/group_wait.h"
 
 namespace rampgap {
@@ -65,20 +65,20 @@
 awaitable<void> gateway_server::awaitFreshness(http_exchange& exchange, const gateway_request& parsed)
 {
     // The usual case, which saves a second route lookup.
-    if (m_freshness.mayUseKeys(m_state.published().provenAt(), m_context.now()))
+    if (m_freshness.mayUseKeys(m_state.published().freshAsOf(), m_context.now()))
         co_return;
     const auto configuration = m_state.configuration();
     const route_spec* route = configuration ? configuration->findRoute(parsed.host, parsed.path) : nullptr;
     if (!route || route->isPublic || !configuration->usesKeys())
         co_return;
-    group_wait_question question;
+    group_wait_input question;
     question.timeLeft = parsed.timeLeft.value_or(route->timeout);
     // Half of the time is kept for the answer, or for a retry after a pause.
     question.run = question.timeLeft / 2;
     question.patience = callerPatience(route->latencyTarget, route->gapTarget);
     question.waited = std::chrono::duration_cast<milliseconds>(m_context.now() - exchange.receivedAt());
-    question.closedFor = m_freshness.refusedFor(m_state.published().provenAt(), m_context.now());
-    std::function<bool()> missing = [this] { return !m_freshness.mayUseKeys(m_state.published().provenAt(), m_context.now()); };
+    question.closedFor = m_freshness.refusedFor(m_state.published().freshAsOf(), m_context.now());
+    std::function<bool()> missing = [this] { return !m_freshness.mayUseKeys(m_state.published().freshAsOf(), m_context.now()); };
     co_await waitWhile(m_context, exchange, std::move(missing), m_context.now() + decideGroupWait(question).wait, freshnessPoll);
 }
 
@@ -112,8 +112,8 @@
     admitted.priority = route.priority;
     if (!configuration.usesKeys() || route.isPublic)
         return boost::outcome_v2::success();
-    if (!m_freshness.mayUseKeys(m_state.published().provenAt(), m_context.now()))
-        return notRun(failure_reason::not_ready, "it is not known whether the key is still valid", longestPause(parsed.timeLeft.value_or(route.timeout)));
+    if (!m_freshness.mayUseKeys(m_state.published().freshAsOf(), m_context.now()))
+        return notRun(failure_reason::not_ready, "it is not known whether the key is still valid", longestRetryPause(parsed.timeLeft.value_or(route.timeout)));
     const workspace_spec* workspace = configuration.findWorkspace(parsed.key);
     if (!workspace)
         return notRun(failure_reason::unauthenticated, "the key is unknown");
--- a/Source/gateway/group_caller.h
+++ b/Source/gateway/group_caller.h
@@ -35,7 +35,7 @@
     std::string m_leader;
     std::string m_group;
     std::size_t m_ranks = 0;
-    agent_reach m_reachability;
+    reachability_tracker m_reachability;
 };
 
 } // namespace rampgap
--- a/Source/gateway/group_leader.cpp
+++ b/Source/gateway/group_leader.cpp
@@ -64,9 +64,9 @@
     return static_cast<std::size_t>(m_costs.layerSets) * static_cast<std::size_t>(m_costs.experts);
 }
 
-look_plan group_leader::pollPlan() const
+poll_plan group_leader::pollPlan() const
 {
-    return planLooks(m_caller.limits(countsBytes()), minPollInterval);
+    return planPolls(m_caller.limits(countsBytes()), minPollInterval);
 }
 
 awaitable<void> group_leader::poll(group_members known)
@@ -77,7 +77,7 @@
     const std::vector<std::string> ids = idsToPoll(std::move(known));
     auto targets = m_caller.targets(ids);
     const instant began = m_context.now();
-    const bool wantsCounts = m_polls++ % pollPlan().looksPerCounts == 0;
+    const bool wantsCounts = m_polls++ % pollPlan().pollsPerCounts == 0;
     const std::size_t largestAnswer = wantsCounts ? countsBytes() : stateAnswerBytes;
     const auto outcome = co_await m_caller.call(std::move(targets), std::nullopt, wantsCounts, callBudget(m_caller.limits(largestAnswer)));
     const instant now = m_context.now();
@@ -90,7 +90,7 @@
         m_roster.recordGroup(ids[rank.index], rank.after->group, now);
         m_monitor->observe({ ids[rank.index], *rank.after, {} }, now);
     }
-    m_monitor->noteChoices(outcome.expertCounts, now);
+    m_monitor->recordChoices(outcome.expertCounts, now);
 }
 
 // A rank whose agent is gone reports its group to nobody: while ranks are missing, its engine may be
@@ -122,7 +122,7 @@
     return loads;
 }
 
-group_strain group_leader::slowdown() const
+group_slowdown group_leader::slowdown() const
 {
     if (!m_monitor || m_monitor->groupSize() == 0)
         return {};
@@ -204,7 +204,7 @@
     const auto placement = m_monitor->nextPlacement(static_cast<std::uint32_t>(ownRank), wallMilliseconds());
     map_switch change(placement, contents, m_monitor->epoch(), ids.size(), ownRank, settings);
     m_log.line("placement_change_begun").add("placement", change.placement()).add("epoch", m_monitor->epoch()).add("fence", settings.fence).add("slowest_pace", m_monitor->slowestPace()).add("skew", m_monitor->currentSkew()).add("planned_skew", m_monitor->plannedSkew());
-    const milliseconds copies(static_cast<std::int64_t>(std::max(longestCopyMs, expertCopyMs(m_costs))));
+    const milliseconds copies(static_cast<std::int64_t>(std::max(maxCopyMs, expertCopyMs(m_costs))));
     co_await executeChange(change, copies + prepareMargin + callBudget(m_caller.limits(packPlacement(*contents).size())));
     if (change.phase() == switch_phase::done)
         m_monitor->recordPlacementChange(change.placement(), *contents);
@@ -219,7 +219,7 @@
     auto change = map_switch::cleanUp(m_monitor->epoch(), m_monitor->groupSize(), nextFence());
     m_log.line("cleanup_begun").add("holds", m_monitor->holds().size()).add("armed", m_monitor->armedPlacement()).add("epoch", m_monitor->epoch());
     co_await executeChange(change, cleanUpTimeout);
-    m_monitor->noteEnded();
+    m_monitor->recordChangeEnd();
     logEnd(change, began, "cleanup_ended");
 }
 
@@ -331,7 +331,7 @@
         m_monitor->observe({ ids[outcome.index], *outcome.after, {} }, m_context.now());
     if (kind == map_order_kind::prepare && (outcome.reply == order_reply::accepted || outcome.reply == order_reply::already))
         m_copyingRanks.insert(outcome.index);
-    change.note(outcome.index, kind, outcome.reply, outcome.after ? &*outcome.after : nullptr);
+    change.handleReply(outcome.index, kind, outcome.reply, outcome.after ? &*outcome.after : nullptr);
 }
 
 } // namespace rampgap
--- a/Source/gateway/group_leader.h
+++ b/Source/gateway/group_leader.h
@@ -40,7 +40,7 @@
     // Requests at each open rank whose state is known.
     load_report_by_hash rankLoads() const;
     // What lengthens the group's steps now; empty if not known.
-    group_strain slowdown() const;
+    group_slowdown slowdown() const;
     // Decides on the next task and returns when it is done. To be called repeatedly.
     awaitable<void> runNextTask(group_members);
 
@@ -57,7 +57,7 @@
     awaitable<void> sendDirectly(map_switch&, std::vector<rank_order_to_send>);
     void recordOutcome(map_switch&, map_order_kind, const rank_outcome&, const std::vector<std::string>& ids);
     std::vector<call_target> targetsFor(const std::vector<rank_order_to_send>&) const;
-    look_plan pollPlan() const;
+    poll_plan pollPlan() const;
     std::vector<std::string> idsToPoll(group_members) const;
     // Size of the expert counts of one rank, or of their sum over all ranks.
     std::size_t countsBytes() const;
--- a/Source/gateway/limit_exchange.cpp
+++ b/Source/gateway/limit_exchange.cpp
@@ -15,7 +15,7 @@
     // this.
     constexpr milliseconds wrongArbiterPause { 250 };
 
-    void addLimits(gateway::peer_datagram& datagram, const limit_words& limits, instant now)
+    void addLimits(gateway::peer_datagram& datagram, const reported_limits& limits, instant now)
     {
         for (const auto& [server, limit] : limits) {
             if (datagram.limits_size() >= static_cast<int>(limitsPerDatagram))
@@ -24,14 +24,14 @@
             added->set_backend_hash(server);
             if (limit.perSecond)
                 added->set_per_second(static_cast<float>(*limit.perSecond));
-            added->set_age_ms(wholeMilliseconds(now - limit.saidAt));
+            added->set_age_ms(wholeMilliseconds(now - limit.reportedAt));
         }
     }
 
     // Each query and answer carries the limit of the server that this process knows.
     void addLimit(gateway::peer_datagram& datagram, const server_limits& limits, server_hash server, instant now)
     {
-        if (const auto limit = limits.wordOf(server, now))
+        if (const auto limit = limits.reportOf(server, now))
             addLimits(datagram, { { server, *limit } }, now);
     }
 
@@ -61,12 +61,12 @@
 
 void limit_exchange::addUpdates(gateway::peer_datagram& datagram) const
 {
-    addLimits(datagram, m_limits.news(m_context.now()), m_context.now());
+    addLimits(datagram, m_limits.recentChanges(m_context.now()), m_context.now());
 }
 
 void limit_exchange::addKnownLimits(gateway::peer_datagram& datagram) const
 {
-    addLimits(datagram, m_limits.known(limitsPerDatagram, m_context.now()), m_context.now());
+    addLimits(datagram, m_limits.currentLimits(limitsPerDatagram, m_context.now()), m_context.now());
 }
 
 void limit_exchange::sendGrantQueries()
@@ -74,9 +74,9 @@
     const instant now = m_context.now();
     std::map<std::string, gateway::peer_datagram> byArbiter;
     for (const auto& query : m_limits.takeQuestions()) {
-        const std::string arbiter = m_peers.pickedEntry(arbiterKey(query.server));
+        const std::string arbiter = m_peers.responsibleEntry(arbiterKey(query.server));
         if (arbiter == m_peers.self().host) {
-            m_limits.noteGranted(makeGrantAnswer(query, arbiter), now);
+            m_limits.recordGranted(makeGrantAnswer(query, arbiter), now);
             continue;
         }
         auto& datagram = byArbiter.try_emplace(arbiter, m_sender.makeDatagram()).first->second;
@@ -94,7 +94,7 @@
 {
     mergeLimits(datagram, host);
     for (const auto& answer : datagram.grant_answers())
-        m_limits.noteGranted({ answer.backend_hash(), static_cast<int>(answer.granted()), milliseconds(answer.ask_again_ms()) }, m_context.now());
+        m_limits.recordGranted({ answer.backend_hash(), static_cast<int>(answer.granted()), milliseconds(answer.ask_again_ms()) }, m_context.now());
     if (!datagram.grant_questions().empty())
         m_sender.send(host, makeGrantAnswers(datagram, host));
 }
@@ -106,7 +106,7 @@
         const server_hash server = wire.backend_hash();
         const auto before = m_limits.limitOf(server, now);
         const auto perSecond = wire.has_per_second() ? std::optional<double>(wire.per_second()) : std::nullopt;
-        m_limits.noteTold(server, { perSecond, now - milliseconds(wire.age_ms()) }, now);
+        m_limits.mergeReport(server, { perSecond, now - milliseconds(wire.age_ms()) }, now);
         const auto after = m_limits.limitOf(server, now);
         if (before.has_value() != after.has_value())
             m_log.line("server_limit").add("backend_hash", server).add("limit_per_s", after.value_or(-1)).add("source", "peer " + host).add("age_ms", wire.age_ms());
@@ -127,7 +127,7 @@
 grant_answer limit_exchange::makeGrantAnswer(const grant_question& query, const std::string& host)
 {
     const instant now = m_context.now();
-    m_grantOffice.noteFleet(m_peers.count(peer_role::entry) + 1, now);
+    m_grantOffice.recordFleetSize(m_peers.count(peer_role::entry) + 1, now);
     if (!isArbiter(query.server))
         return { query.server, 0, wrongArbiterPause };
     const auto limit = m_limits.limitOf(query.server, now);
--- a/Source/gateway/peer_exchange.cpp
+++ b/Source/gateway/peer_exchange.cpp
@@ -117,8 +117,8 @@
 {
     bool anyChange = false;
     for (const auto& wire : datagram.groups()) {
-        const group_news update { { wire.service(), wire.group() }, { wire.epoch(), wire.open() } };
-        if (!m_groups.note(update, milliseconds(wire.age_ms()), m_context.now()))
+        const group_update update { { wire.service(), wire.group() }, { wire.epoch(), wire.open() } };
+        if (!m_groups.mergeUpdate(update, milliseconds(wire.age_ms()), m_context.now()))
             continue;
         anyChange = true;
         m_log.line("group_state").add("group", update.key.group).add("epoch", update.phase.epoch).add("state", update.phase.open ? "open" : "closed").add("age_ms", wire.age_ms());
@@ -144,9 +144,9 @@
     }
 }
 
-void peer_exchange::publishGroupState(const group_news& update)
+void peer_exchange::publishGroupState(const group_update& update)
 {
-    if (!m_groups.note(update, milliseconds(0), m_context.now()))
+    if (!m_groups.mergeUpdate(update, milliseconds(0), m_context.now()))
         return;
     m_log.line("group_state").add("group", update.key.group).add("epoch", update.phase.epoch).add("state", update.phase.open ? "open" : "closed").add("source", "own engine");
     gossipGroupStates();
@@ -197,7 +197,7 @@
         return;
     }
     // Agents are not added to the peers: no process needs to know which ones exist.
-    if (sender.role == peer_role::entry && m_peers.noteHeard(sender, now))
+    if (sender.role == peer_role::entry && m_peers.recordContact(sender, now))
         m_log.line("peer_joined").add("peer", host).add("zone", sender.zone).add("incarnation", sender.incarnation);
     for (const auto& known : datagram.known())
         m_peers.mergeReport(fromWire(known.process()), milliseconds(known.age_ms()), now);
@@ -209,12 +209,12 @@
     if (datagram.pass_on() && isEntry)
         forwardToZone(datagram);
     if (datagram.has_report())
-        m_loads.notePeer(host, workOf(datagram), now);
+        m_loads.mergePeerState(host, workOf(datagram), now);
     mergeRankLoads(datagram);
     if (sender.role == peer_role::entry)
         recordSummary(sender, summaryOf(datagram));
     if (sender.role == peer_role::entry && datagram.has_restored_ms_ago())
-        m_state.notePeerRestored(datagram.epoch(), now - milliseconds(datagram.restored_ms_ago()));
+        m_state.mergePeerRestoration(datagram.epoch(), now - milliseconds(datagram.restored_ms_ago()));
     if (datagram.has_question())
         sendFreshnessAnswer(datagram, host);
     if (datagram.has_answer())
@@ -236,7 +236,7 @@
     const instant now = m_context.now();
     const rank_load_report report = ranksOf(datagram);
     if (report.slowdown.expertSkew > 0)
-        m_groups.noteStrain(report.group, report.slowdown, now);
+        m_groups.recordSlowdown(report.group, report.slowdown, now);
     for (const auto& [hash, load] : report.loads)
         m_groups.recordMember(hash, report.group);
     m_loads.mergeRankLoads(report.loads, now);
@@ -268,7 +268,7 @@
     if (asked == m_freshnessQueries.end())
         return;
     const instant freshAsOf = asked->second - milliseconds(datagram.answer().proof_age_ms() + 1);
-    m_state.notePeerProof(summaryOf(datagram.answer()), freshAsOf);
+    m_state.mergePeerFreshness(summaryOf(datagram.answer()), freshAsOf);
 }
 
 // Polls quickly, since callers wait until this process holds a configuration.
@@ -310,11 +310,11 @@
         const std::size_t fanout = isEntry ? gossipFanout : reportFanoutOfAgent;
         // Agents ask a different entry VM each time which others exist.
         datagram.set_wants_known(withKnown && !isEntry);
-        const auto recipients = m_peers.sampleNear(peer_role::entry, fanout, m_context.random());
+        const auto recipients = m_peers.samplePreferringOwnZone(peer_role::entry, fanout, m_context.random());
         for (const auto& peer : recipients)
             send(peer.host, datagram);
         if (withKnown)
-            requestKnownProcesses(m_peers.seedsToAsk());
+            requestKnownProcesses(m_peers.seedsToContact());
     }
 }
 
@@ -328,7 +328,7 @@
         send(peer.host, datagram);
 }
 
-void peer_exchange::sendRankLoads(const group_key& group, const group_strain& slowdown, const load_report_by_hash& ranks)
+void peer_exchange::sendRankLoads(const group_key& group, const group_slowdown& slowdown, const load_report_by_hash& ranks)
 {
     const bool direct = m_peers.count(peer_role::entry) <= maxDirectRecipients;
     auto common = makeDatagram();
--- a/Source/gateway/peer_exchange.h
+++ b/Source/gateway/peer_exchange.h
@@ -37,9 +37,9 @@
     void announceState();
     // Sends the entry VMs the number of requests at each rank: directly if they are few, otherwise
     // through one in each zone. Leaders of groups only.
-    void sendRankLoads(const group_key&, const group_strain&, const load_report_by_hash&);
+    void sendRankLoads(const group_key&, const group_slowdown&, const load_report_by_hash&);
     // Sends a change of a group's state to a few entry VMs, which gossip it; agents only.
-    void publishGroupState(const group_news&);
+    void publishGroupState(const group_update&);
     // Publishes new records of the crash history.
     void publishCrashes() { m_crashes.publish(); }
     // Sends the arbiters of servers with a limit queries for grants.
@@ -47,7 +47,7 @@
     void setSeeds(std::vector<std::string> hosts) { m_peers.setSeeds(std::move(hosts)); }
     const snapshot_exchange& snapshots() const { return m_snapshots; }
     // True if every other seed has been heard from.
-    bool heardAllSeeds() const { return m_peers.seedsToAsk().empty(); }
+    bool heardAllSeeds() const { return m_peers.seedsToContact().empty(); }
 
 private:
     peer_exchange(process_context&, decision_log&, fleet_state&, load_table&, group_directory&, crash_history&, server_limits&, peer_table, peer_exchange_settings, boost::asio::ip::udp::socket);
--- a/Source/gateway/peer_wire.h
+++ b/Source/gateway/peer_wire.h
@@ -41,7 +41,7 @@
 // A leader's report of the requests at each rank of its group and of what lengthens its steps.
 struct rank_load_report {
     group_key group;
-    group_strain slowdown;
+    group_slowdown slowdown;
     load_report_by_hash loads;
 };
 
--- a/Source/gateway/rank_link.cpp
+++ b/Source/gateway/rank_link.cpp
@@ -2,7 +2,7 @@
 
 #include "daemon/boot_timer.h"
 #include "daemon/sleep.h"
-#include "gateway/choice_codec.h"
+#include "gateway/expert_count_codec.h"
 #include "gateway/rank_wire.h"
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -114,7 +114,7 @@
     if (query.wantsExpertCounts) {
         auto counts = co_await m_port.counts(m_ownEngine);
         if (counts)
-            addChoices(pending->outcome.expertCounts, m_expertCounts.take(std::move(counts.value().counts), counts.value().incarnation));
+            addExpertCounts(pending->outcome.expertCounts, m_expertCounts.take(std::move(counts.value().counts), counts.value().incarnation));
     }
     const auto state = co_await m_port.state(m_ownEngine);
     if (state)
@@ -157,7 +157,7 @@
 {
     while (!part.empty()) {
         const call_target first = part.front();
-        if (first.trust == agent_trust::silent) {
+        if (first.reachability == agent_reachability::unreachable) {
             ++pending->open;
             asio::co_spawn(m_context.io(), callEngineDirectly(pending, query, first), asio::detached);
             part.erase(part.begin());
@@ -191,12 +191,12 @@
     const auto response = co_await m_client.fetch(agent, std::move(request), std::max(minBudget, left));
     gateway::group_answer answer;
     const bool readable = response && response.value().result() == http::status::ok && answer.ParseFromString(response.value().body());
-    const auto expertCounts = unpackChoices(answer.choices());
+    const auto expertCounts = unpackExpertCounts(answer.choices());
     if (!readable || !expertCounts) {
         m_log.line("agent_unreachable").add("agent", agent).add("order", query.order ? toString(query.order->kind) : "none").add("passed_on", part.size() - 1).add("reason", response ? "unreadable answer" : response.error().message);
         co_return false;
     }
-    addChoices(pending->outcome.expertCounts, *expertCounts);
+    addExpertCounts(pending->outcome.expertCounts, *expertCounts);
     for (const auto& rank : answer.ranks()) {
         rank_outcome outcome;
         outcome.index = rank.index();
@@ -295,7 +295,7 @@
         m_onCalled(query.leader, query.group);
     auto outcome = co_await call(std::move(query), targetsOf(wire), milliseconds(wire.budget_ms()));
     gateway::group_answer answer;
-    answer.set_choices(packChoices(outcome.expertCounts));
+    answer.set_choices(packExpertCounts(outcome.expertCounts));
     for (const auto& rank : outcome.ranks) {
         auto* added = answer.add_ranks();
         added->set_index(rank.index);
--- a/Source/gateway/rank_link.h
+++ b/Source/gateway/rank_link.h
@@ -77,7 +77,7 @@
     unsigned short m_agentPort;
     std::string m_ownEngine;
     http_client m_client;
-    choice_counter m_expertCounts;
+    expert_choice_counter m_expertCounts;
     std::map<std::uint64_t, std::shared_ptr<const group_placement>> m_prepared;
     std::function<void(const std::string&, const std::string&)> m_onCalled;
 };
--- a/Source/gateway/rank_port.h
+++ b/Source/gateway/rank_port.h
@@ -19,7 +19,7 @@
     virtual awaitable<result<rank_experts>> experts(std::string address) = 0;
     virtual awaitable<order_reply> order(std::string address, std::string backendId, map_order) = 0;
     // A request that an engine answers at once under any load, as long as its process works.
-    virtual http_request makePing() const = 0;
+    virtual http_request makeProbe() const = 0;
 };
 
 } // namespace rampgap
--- a/Source/gateway/request_codec.h
+++ b/Source/gateway/request_codec.h
@@ -40,7 +40,7 @@
 };
 
 // What is sent to a backend server in addition to the caller's request.
-struct upstream_facts {
+struct upstream_context {
     std::string backendId;
     std::string workspace;
     milliseconds timeLeft { 0 };
@@ -89,11 +89,11 @@
     virtual ~request_codec() = default;
 
     virtual result<gateway_request> decode(const http_request&) const = 0;
-    virtual http_request makeUpstream(const http_request&, const gateway_request&, const upstream_facts&) const = 0;
+    virtual http_request makeUpstream(const http_request&, const gateway_request&, const upstream_context&) const = 0;
     virtual reply_verdict classify(const http_head&, const gateway_request&) const = 0;
     virtual server_notice readNotice(const http_head&) const = 0;
     // A request that a server answers at once under any load, as long as its process works.
-    virtual http_request makePing() const = 0;
+    virtual http_request makeProbe() const = 0;
     // The answer to the caller of a request that failed.
     virtual http_response makeRefusal(const failure&, const std::string& requestId) const = 0;
 };
--- a/Source/gateway/held_caller.cpp
+++ b/Source/gateway/request_wait.cpp
@@ -1,4 +1,4 @@
-#include "gateway/held_caller.h"
+#include "gateway/request_wait.h"
 
 #include "daemon/sleep.h"
 
--- a/Source/gateway/place_giver.cpp
+++ b/Source/gateway/slot_allocator.cpp
@@ -1,4 +1,4 @@
-#include "gateway/place_giver.h"
+#include "gateway/slot_allocator.h"
 
 #include "policy/admission_share.h"
 #include "policy/admission_wait.h"
@@ -15,7 +15,7 @@
 
 } // namespace
 
-place_giver::service_slots::service_slots(process_context& context)
+slot_allocator::service_slots::service_slots(process_context& context)
     : gate(context, admission_limits {}, shedding)
     , firstEvent(initialFirstEventDelay)
     , run(initialRunTime)
@@ -23,7 +23,7 @@
     gate.reserve(lastChancePriority, lastChanceNth);
 }
 
-place_giver::place_giver(process_context& context, fleet_state& state, load_table& loads, group_directory& groups, const server_backpressure& backpressure)
+slot_allocator::slot_allocator(process_context& context, fleet_state& state, load_table& loads, group_directory& groups, const server_backpressure& backpressure)
     : m_context(context)
     , m_state(state)
     , m_loads(loads)
@@ -32,24 +32,24 @@
 {
 }
 
-awaitable<result<admission_place>> place_giver::acquire(http_exchange& exchange, const admitted_request& request, bool begun, bool again)
+awaitable<result<admission_place>> slot_allocator::acquire(http_exchange& exchange, const admitted_request& request, bool begun, bool again)
 {
     if (!request.costs)
         co_return admission_place();
     const instant now = m_context.now();
     service_slots& slots = slotsFor(request.service);
     setSlots(request, slots);
-    admission_wait_question question;
+    admission_wait_input question;
     question.begun = begun;
-    question.placesFree = !slots.gate.full();
+    question.slotsFree = !slots.gate.full();
     question.latencyTarget = request.route.latencyTarget;
-    question.firstEvent = std::min(slots.firstEvent.value(), request.route.gapTarget * firstEventGaps);
+    question.firstEvent = std::min(slots.firstEvent.value(), request.route.gapTarget * firstEventPasses);
     question.run = slots.run.mean();
     question.waited = request.waited(now);
     question.timeLeft = request.timeLeft(now);
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.firstTime = request.isFirstAttempt() && !again;
-    admission_request asked { request.workspace, begunUrgency, now };
+    admission_request asked { request.workspace, resumedStreamPriority, now };
     failure refused = notRun(failure_reason::queue_full, "no request slot became free in time");
     for (const auto& stage : planAdmission(question)) {
         asked.priority = stage.priority;
@@ -64,17 +64,17 @@
     co_return refused;
 }
 
-void place_giver::setSlots(const admitted_request& request, service_slots& slots) const
+void slot_allocator::setSlots(const admitted_request& request, service_slots& slots) const
 {
     const instant now = m_context.now();
-    const milliseconds gap = timelyPass(request.route.gapTarget);
-    const pool_question question { request.service, request.costs, gap, slots.run.mean(), now };
+    const milliseconds gap = passTimeLimit(request.route.gapTarget);
+    const pool_load_input question { request.service, request.costs, gap, slots.run.mean(), now };
     const pool_load load = poolLoad(question, m_state.backends(), m_loads, m_groups, m_backpressure);
     slots.busyShare = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
-    slots.gate.setSlots(admissionShare({ load.toRun, load.requests, slots.gate.queue().running(), m_entries, m_groups.openFor(request.service, now) }));
+    slots.gate.setSlots(admissionShare({ load.targetRunning, load.requests, slots.gate.queue().running(), m_entries, m_groups.openFor(request.service, now) }));
 }
 
-awaitable<result<admission_place>> place_giver::enter(admission_gate& gate, admission_request asked, http_exchange& exchange)
+awaitable<result<admission_place>> slot_allocator::enter(admission_gate& gate, admission_request asked, http_exchange& exchange)
 {
     const auto entered = co_await gate.enter(asked, exchange);
     if (!entered)
@@ -82,22 +82,22 @@
     co_return admission_place(gate, entered.value());
 }
 
-void place_giver::recordFirstEvent(const std::string& service, milliseconds elapsed)
+void slot_allocator::recordFirstEvent(const std::string& service, milliseconds elapsed)
 {
     slotsFor(service).firstEvent.observe(elapsed);
 }
 
-void place_giver::recordCompletion(const std::string& service, milliseconds elapsed)
+void slot_allocator::recordCompletion(const std::string& service, milliseconds elapsed)
 {
     slotsFor(service).run.observe(elapsed);
 }
 
-milliseconds place_giver::typicalRun(const std::string& service)
+milliseconds slot_allocator::typicalRun(const std::string& service)
 {
     return slotsFor(service).run.mean();
 }
 
-place_giver::service_slots& place_giver::slotsFor(const std::string& service)
+slot_allocator::service_slots& slot_allocator::slotsFor(const std::string& service)
 {
     return m_slotsByService.try_emplace(service, m_context).first->second;
 }
--- a/Source/gateway/place_giver.h
+++ b/Source/gateway/slot_allocator.h
@@ -13,9 +13,9 @@
 
 namespace rampgap {
 
-class place_giver {
+class slot_allocator {
 public:
-    place_giver(process_context&, fleet_state&, load_table&, group_directory&, const server_backpressure&);
+    slot_allocator(process_context&, fleet_state&, load_table&, group_directory&, const server_backpressure&);
 
     // Waits for a slot for as long as that is of use to the caller. `begun`: an interrupted stream
     // that is to be resumed. `again`: the request was sent to a server before, so its caller may not
--- a/Source/gateway/snapshot_exchange.cpp
+++ b/Source/gateway/snapshot_exchange.cpp
@@ -48,7 +48,7 @@
         for (const auto& retained : wire.retained())
             state.retained.push_back({ itemOf(retained.item()), retained.removed() });
         if (wire.proven())
-            state.provenAt = askedAt - milliseconds(wire.proof_age_ms() + 1);
+            state.freshAsOf = askedAt - milliseconds(wire.proof_age_ms() + 1);
         state.listUncertainFor = milliseconds(wire.list_doubt_ms());
         state.listSettled = wire.list_settled();
         if (wire.has_restored_ms_ago())
@@ -70,7 +70,7 @@
 void snapshot_exchange::recordSummary(const std::string& host, bool sameZone, const state_summary& summary)
 {
     m_anyPeerHasState = m_anyPeerHasState || summary.position != store_position {};
-    fetchFrom(m_choice.noteTold(host, sameZone, summary, m_state.summary(), m_context.now()));
+    fetchFrom(m_choice.recordPeerSummary(host, sameZone, summary, m_state.summary(), m_context.now()));
 }
 
 void snapshot_exchange::fetchOverdue()
@@ -113,7 +113,7 @@
     const auto age = m_state.freshnessAge();
     wire.set_proven(age.has_value());
     wire.set_proof_age_ms(wholeMilliseconds(age.value_or(milliseconds(0))));
-    wire.set_list_doubt_ms(wholeMilliseconds(m_state.listDoubt()));
+    wire.set_list_doubt_ms(wholeMilliseconds(m_state.listUncertainFor()));
     wire.set_list_settled(m_state.listSettled());
     if (const auto restoredAt = m_state.restoredAt())
         wire.set_restored_ms_ago(wholeMilliseconds(m_context.now() - *restoredAt));
--- a/Source/gateway/store_follower.h
+++ b/Source/gateway/store_follower.h
@@ -17,7 +17,7 @@
     void setShouldRead(std::function<bool()> shouldRead) { m_shouldRead = std::move(shouldRead); }
     // Sets whether other processes read the store for this one, which then leaves the listing of a
     // restored store to them.
-    void setReadersBeside(std::function<bool()> hasOtherReaders) { m_hasOtherReaders = std::move(hasOtherReaders); }
+    void setOtherReaders(std::function<bool()> hasOtherReaders) { m_hasOtherReaders = std::move(hasOtherReaders); }
 
 private:
     awaitable<void> run();
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -1,7 +1,7 @@
 #include "gateway/upstream_dispatcher.h"
 
 #include "daemon/caller_watch.h"
-#include "gateway/held_caller.h"
+#include "gateway/request_wait.h"
 #include "policy/attempt_rules.h"
 #include "policy/group_wait.h"
 #include "policy/silence_limit.h"
@@ -51,7 +51,7 @@
     , m_history(history)
     , m_backpressure(backpressure)
     , m_client(context, serverConnectTimeout)
-    , m_crashes(context, log, state, history, codec.makePing())
+    , m_crashes(context, log, state, history, codec.makeProbe())
     , m_slots(context, state, loads, groups, backpressure)
     , m_picker(context, log, state, loads, groups, backpressure)
     , m_budget(bounds, context.startedAt())
@@ -75,7 +75,7 @@
 
 awaitable<std::optional<failure>> upstream_dispatcher::run(http_exchange& exchange, const admitted_request& request, progress& state)
 {
-    std::optional<try_outcome> last;
+    std::optional<attempt_outcome> last;
     for (;;) {
         const instant now = m_context.now();
         if (request.timeLeft(now) < minTimeLeft) {
@@ -124,7 +124,7 @@
         last = co_await sendAttempt(exchange, request, state, backend);
         if (!last->failed)
             co_return std::nullopt;
-        if (last->result == try_result::silent || last->result == try_result::unreachable)
+        if (last->result == attempt_result::silent || last->result == attempt_result::unreachable)
             state.attempted.silent.push_back(id);
         // Once an attempt may have run, so may the request, whatever the outcome of later attempts.
         state.worst = std::max(state.worst, last->failed->ran);
@@ -142,12 +142,12 @@
 // cleared: a refusal would send its caller away for a minute.
 awaitable<std::optional<failure>> upstream_dispatcher::checkCrashHistory(http_exchange& exchange, const admitted_request& request, const progress& state)
 {
-    if (const auto until = m_history.undecidedUntil(state.fingerprint, m_context.now())) {
-        std::function<bool()> undecided = [this, &state] { return m_history.undecidedUntil(state.fingerprint, m_context.now()).has_value(); };
+    if (const auto until = m_history.clearancePendingUntil(state.fingerprint, m_context.now())) {
+        std::function<bool()> undecided = [this, &state] { return m_history.clearancePendingUntil(state.fingerprint, m_context.now()).has_value(); };
         co_await waitWhile(m_context, exchange, std::move(undecided), std::min(*until, request.deadline), groupPoll);
     }
     auto refused = m_history.refuse({ state.fingerprint, closesGroup(request), state.runs > 0 }, m_context.now());
-    const auto clearedBy = refused ? std::string_view() : m_history.whyLetThrough(state.fingerprint, m_context.now());
+    const auto clearedBy = refused ? std::string_view() : m_history.clearanceReason(state.fingerprint, m_context.now());
     if (refused)
         refused->ran = state.worst;
     else if (!clearedBy.empty())
@@ -162,7 +162,7 @@
     if (!request.costs)
         return false;
     const instant now = m_context.now();
-    const bool awaitsReport = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupReportTime && !m_groups.heardOf(request.service, now);
+    const bool awaitsReport = request.costs->layerSets > 0 && now - m_context.startedAt() < firstGroupReportTime && !m_groups.hasGroups(request.service, now);
     return awaitsReport || m_groups.closed(request.service, now);
 }
 
@@ -187,10 +187,10 @@
     co_return failure { state.worst, failure_reason::no_backend, "no expert group of the service has been open for " + std::to_string(m_groups.closedFor(request.service, m_context.now()).count()) + " ms", decision.retryAfter };
 }
 
-void upstream_dispatcher::setEntryCounts(std::size_t entries, std::size_t mostEntries)
+void upstream_dispatcher::setEntryCounts(std::size_t entries, std::size_t maxLiveEntries)
 {
     m_slots.setEntries(entries);
-    m_budget.setSharers(mostEntries);
+    m_budget.setSharingProcesses(maxLiveEntries);
 }
 
 void upstream_dispatcher::handleRestart(const listed_backend& backend)
@@ -202,17 +202,17 @@
         m_log.line("calls_ended").add("backend", backend.id).add("calls", ended).add("reason", "the server was restarted");
 }
 
-bool upstream_dispatcher::mayRetry(const admitted_request& request, const progress& state, const try_outcome& last)
+bool upstream_dispatcher::mayRetry(const admitted_request& request, const progress& state, const attempt_outcome& last)
 {
     const bool resumable = request.route.repeat == repeat_rule::streaming && request.route.resumable;
-    return mayTryAgain({ last.failed->ran, request.route.repeatable(), resumable, request.route.maxAttempts, state.runs, state.attempted.all.size(), state.relay.begun });
+    return mayAttemptAgain({ last.failed->ran, request.route.repeatable(), resumable, request.route.maxAttempts, state.runs, state.attempted.all.size(), state.relay.begun });
 }
 
-bool upstream_dispatcher::consumeRetry(const admitted_request& request, const try_outcome& last)
+bool upstream_dispatcher::consumeRetry(const admitted_request& request, const attempt_outcome& last)
 {
     if (last.result == attempt_result::unreachable)
         return true;
-    if (!m_budget.take(request.service, m_context.now())) {
+    if (!m_budget.tryConsume(request.service, m_context.now())) {
         m_log.requestLine("retry_denied").add("request", request.parsed.id).add("reason", "the shared retry budget is used up").add("service", request.service);
         return false;
     }
@@ -229,34 +229,34 @@
     if (notice.backoff)
         return;
     const bool justStarted = m_context.now() - m_context.startedAt() < groupDiscoveryTime;
-    if (request.costs && (justStarted || m_loads.counted(backend.id)) && m_loads.total(backend.id, m_context.now()).requests <= backend.capacity)
-        m_groups.noteRefusal(request.service, backendHash(backend.id), m_context.now());
+    if (request.costs && (justStarted || m_loads.isKnownRank(backend.id)) && m_loads.total(backend.id, m_context.now()).requests <= backend.capacity)
+        m_groups.recordRefusal(request.service, backendHash(backend.id), m_context.now());
 }
 
 // A silent attempt is given up early only if another one may follow.
 instant upstream_dispatcher::responseDeadline(const admitted_request& request, const progress& state, instant sentAt)
 {
     const bool mayRetry = request.route.repeatable() && state.runs + 1 < request.route.maxAttempts;
-    if (!mayRetry || !m_budget.has(request.service, sentAt))
+    if (!mayRetry || !m_budget.allowsRetry(request.service, sentAt))
         return request.deadline;
     if (request.route.repeat == repeat_rule::idempotent)
         return std::min(request.deadline, sentAt + maxSilentTargets * request.route.latencyTarget);
     if (!request.costs || state.relay.begun)
         return request.deadline;
-    first_event_question question;
-    question.usual = m_slots.typicalFirstEvent(request.service);
+    first_event_input question;
+    question.typicalDelay = m_slots.typicalFirstEvent(request.service);
     question.latencyTarget = request.route.latencyTarget;
     question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
     question.waited = request.waited(sentAt);
-    question.busyPart = m_slots.busyShare(request.service);
+    question.busyFraction = m_slots.busyShare(request.service);
     const auto limit = firstEventLimit(question);
     return limit ? std::min(request.deadline, sentAt + *limit) : request.deadline;
 }
 
-awaitable<upstream_dispatcher::try_outcome> upstream_dispatcher::sendAttempt(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend)
+awaitable<upstream_dispatcher::attempt_outcome> upstream_dispatcher::sendAttempt(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend)
 {
     const instant sentAt = m_context.now();
-    upstream_facts facts { backend.id, request.workspace, request.timeLeft(sentAt), state.relay.lastEventId, std::nullopt };
+    upstream_context facts { backend.id, request.workspace, request.timeLeft(sentAt), state.relay.lastEventId, std::nullopt };
     http_call call(m_client);
     const caller_watch watch(exchange, [&call] { call.cancel(); });
     call_registry::registration underWay(m_calls, backend.id, call, closesGroup(request) ? std::optional(state.fingerprint) : std::nullopt);
@@ -264,12 +264,12 @@
         call.useFreshConnection();
     std::int64_t unread = request.parsed.promptTokens;
     const std::uint64_t eventsBefore = state.relay.events;
-    const bool isIsolated = m_history.beginTrial(state.fingerprint, sentAt);
-    m_loads.noteSent(backend.id, unread, sentAt);
+    const bool isIsolated = m_history.beginIsolatedAttempt(state.fingerprint, sentAt);
+    m_loads.recordSent(backend.id, unread, sentAt);
 
     const instant headDeadline = responseDeadline(request, state, sentAt);
     auto head = co_await call.start(backend.address, m_codec.makeUpstream(exchange.request(), request.parsed, facts), headDeadline);
-    try_outcome outcome;
+    attempt_outcome outcome;
     state.notice = {};
     if (head) {
         state.notice = m_codec.readNotice(head.value());
@@ -286,14 +286,14 @@
     m_loads.recordEnded(backend.id, unread);
     const bool isSent = !outcome.failed || outcome.failed->ran != verdict::not_run;
     if (underWay.withdrawn() && outcome.failed)
-        outcome = { mayHaveRun(failure_reason::crashes_servers, "a server crashed under a copy of this request"), try_result::failed };
-    if (outcome.result == try_result::answered && !exchange.callerGone())
+        outcome = { mayHaveRun(failure_reason::crashes_servers, "a server crashed under a copy of this request"), attempt_result::failed };
+    if (outcome.result == attempt_result::answered && !exchange.callerGone())
         m_crashes.recordServed(state.fingerprint);
-    if (request.costs && outcome.result == try_result::answered && !exchange.callerGone())
+    if (request.costs && outcome.result == attempt_result::answered && !exchange.callerGone())
         m_slots.recordCompletion(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
     if (!exchange.callerGone() && !underWay.cancelled() && !underWay.withdrawn()) {
-        m_state.backends().noteResult(backend.id, outcome.result, m_context.now());
-        m_groups.noteReach(request.service, backendHash(backend.id), outcome.result != try_result::unreachable, m_context.now());
+        m_state.backends().recordResult(backend.id, outcome.result, m_context.now());
+        m_groups.recordReachability(request.service, backendHash(backend.id), outcome.result != attempt_result::unreachable, m_context.now());
     }
     const duration silence = m_context.now() - std::max(sentAt, state.relay.newestBytesAt);
     const lost_call lost { request.parsed.id, state.fingerprint, state.relay.events - eventsBefore, sentAt, m_context.now() };
@@ -302,12 +302,12 @@
     else if (isSent && lost.events == 0 && (exchange.callerGone() || underWay.withdrawn()))
         m_crashes.recordWithdrawnCall(backend, lost);
     if (isIsolated)
-        m_history.endTrial(state.fingerprint, endedByServer(outcome), m_context.now());
+        m_history.endIsolatedAttempt(state.fingerprint, endedByServer(outcome), m_context.now());
     logAttempt(request, state, backend, outcome, sentAt);
     co_return outcome;
 }
 
-awaitable<upstream_dispatcher::try_outcome> upstream_dispatcher::processReply(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend, call_registry::registration& underWay, http_head head, instant sentAt, std::int64_t& unread)
+awaitable<upstream_dispatcher::attempt_outcome> upstream_dispatcher::processReply(http_exchange& exchange, const admitted_request& request, progress& state, const listed_backend& backend, call_registry::registration& underWay, http_head head, instant sentAt, std::int64_t& unread)
 {
     http_call& call = underWay.call();
     const reply_verdict reply = m_codec.classify(head, request.parsed);
@@ -317,12 +317,12 @@
         const bool replaced = reply.kind == reply_kind::wrong_server;
         if (!replaced)
             recordRefusal(request, backend, state.notice);
-        co_return try_outcome { notRun(failure_reason::queue_full, reply.reason, fullRetryAfter), replaced ? try_result::replaced : try_result::refused };
+        co_return attempt_outcome { notRun(failure_reason::queue_full, reply.reason, fullRetryAfter), replaced ? attempt_result::replaced : attempt_result::refused };
     }
     ++state.runs;
     if (reply.kind == reply_kind::unreadable) {
         call.cancel();
-        co_return try_outcome { mayHaveRun(failure_reason::backend_error, reply.reason), attempt_result::failed };
+        co_return attempt_outcome { mayHaveRun(failure_reason::backend_error, reply.reason), attempt_result::failed };
     }
     call.expireAt(request.deadline);
     const bool streams = isEventStream(head);
@@ -330,35 +330,35 @@
     options.wholeEvents = true;
     options.bufferUnframed = true;
     options.deadline = request.deadline;
-    const bool mayResumeElsewhere = request.route.resumable && state.runs < request.route.maxAttempts && m_budget.has(request.service, sentAt);
+    const bool mayResumeElsewhere = request.route.resumable && state.runs < request.route.maxAttempts && m_budget.allowsRetry(request.service, sentAt);
     if (streams && mayResumeElsewhere)
-        options.silenceLimit = streamSilenceLimit(m_groups.openElsewhere(request.service, backendHash(backend.id), sentAt));
+        options.silenceLimit = streamSilenceLimit(m_groups.hasOtherOpenGroup(request.service, backendHash(backend.id), sentAt));
     options.onFirstBytes = [&, sentAt] {
         underWay.recordFirstBytes();
         m_crashes.recordAnswer(backend, sentAt);
         m_context.counters().observe(latency::first_byte, m_context.now() - request.receivedAt);
         m_slots.recordFirstEvent(request.service, std::chrono::duration_cast<milliseconds>(m_context.now() - sentAt));
-        m_loads.noteBegun(backend.id, unread);
+        m_loads.recordFirstByte(backend.id, unread);
         unread = 0;
     };
     const bool serverFailed = head.result_int() >= 500;
     if (state.relay.begun && serverFailed) {
         call.cancel();
-        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine that was to resume the stream answered " + std::to_string(head.result_int())), try_result::failed };
+        co_return attempt_outcome { mayHaveRun(failure_reason::backend_error, "the engine that was to resume the stream answered " + std::to_string(head.result_int())), attempt_result::failed };
     }
     // If an engine fails a repeatable request, another engine may answer it.
     const bool retryElsewhere = serverFailed && request.route.repeatable() && state.runs < request.route.maxAttempts && request.timeLeft(m_context.now()) > request.route.latencyTarget;
     if (retryElsewhere) {
         co_await discardBody(call);
-        co_return try_outcome { mayHaveRun(failure_reason::backend_error, "the engine answered " + std::to_string(head.result_int())), try_result::failed };
+        co_return attempt_outcome { mayHaveRun(failure_reason::backend_error, "the engine answered " + std::to_string(head.result_int())), attempt_result::failed };
     }
     auto relayed = co_await relayAnswer(call, std::move(head), exchange, state.relay, options);
     if (relayed.end == relay_end::cut)
-        co_return try_outcome { relayed.failed, relayed.failed->reason == failure_reason::deadline ? attempt_result::silent : attempt_result::failed };
-    co_return try_outcome { std::nullopt, serverFailed ? attempt_result::failed : attempt_result::answered };
+        co_return attempt_outcome { relayed.failed, relayed.failed->reason == failure_reason::deadline ? attempt_result::silent : attempt_result::failed };
+    co_return attempt_outcome { std::nullopt, serverFailed ? attempt_result::failed : attempt_result::answered };
 }
 
-bool upstream_dispatcher::endedByServer(const try_outcome& outcome)
+bool upstream_dispatcher::endedByServer(const attempt_outcome& outcome)
 {
     if (outcome.result == attempt_result::silent)
         return true;
@@ -383,12 +383,12 @@
 
 // A retry sent right when the call ends would reach the next group before the crash of the first
 // server is known, and would close that group as well.
-bool upstream_dispatcher::mustAwaitProbe(const admitted_request& request, const try_outcome& last)
+bool upstream_dispatcher::mustAwaitProbe(const admitted_request& request, const attempt_outcome& last)
 {
     return closesGroup(request) && last.result != attempt_result::silent && endedByServer(last);
 }
 
-void upstream_dispatcher::logAttempt(const admitted_request& request, const progress& state, const listed_backend& backend, const try_outcome& outcome, instant sentAt)
+void upstream_dispatcher::logAttempt(const admitted_request& request, const progress& state, const listed_backend& backend, const attempt_outcome& outcome, instant sentAt)
 {
     auto line = m_log.requestLine("try_ended");
     line.add("request", request.parsed.id).add("fingerprint", toString(state.fingerprint)).add("backend", backend.id).add("address", backend.address).add("try", state.attempted.all.size());
--- a/Source/gateway/upstream_dispatcher.h
+++ b/Source/gateway/upstream_dispatcher.h
@@ -5,7 +5,7 @@
 #include "gateway/call_registry.h"
 #include "gateway/crash_reporter.h"
 #include "gateway/gateway_settings.h"
-#include "gateway/place_giver.h"
+#include "gateway/slot_allocator.h"
 #include "gateway/upstream_picker.h"
 #include "policy/group_directory.h"
 #include "policy/load_table.h"
@@ -18,8 +18,8 @@
 
     // Always completes the exchange, with an answer or a refusal.
     awaitable<void> dispatch(http_exchange&, const admitted_request&);
-    // `entries`: active entry VMs; `mostEntries`: those that may share the retry budget.
-    void setEntryCounts(std::size_t entries, std::size_t mostEntries);
+    // `entries`: active entry VMs; `maxLiveEntries`: those that may share the retry budget.
+    void setEntryCounts(std::size_t entries, std::size_t maxLiveEntries);
 
     // The server was restarted under its id and has lost the calls it was running.
     void handleRestart(const listed_backend&);
@@ -42,7 +42,7 @@
         server_notice notice;
     };
     // How one attempt ended; without a failure the caller has its answer or has disconnected.
-    struct try_outcome {
+    struct attempt_outcome {
         std::optional<failure> failed;
         attempt_result result = attempt_result::answered;
     };
@@ -56,26 +56,26 @@
     // running it. Waits briefly while this is still undecided.
     awaitable<std::optional<failure>> checkCrashHistory(http_exchange&, const admitted_request&, const progress&);
     awaitable<std::optional<failure>> run(http_exchange&, const admitted_request&, progress&);
-    awaitable<try_outcome> sendAttempt(http_exchange&, const admitted_request&, progress&, const listed_backend&);
-    awaitable<try_outcome> processReply(http_exchange&, const admitted_request&, progress&, const listed_backend&, call_registry::registration&, http_head, instant sentAt, std::int64_t& unread);
+    awaitable<attempt_outcome> sendAttempt(http_exchange&, const admitted_request&, progress&, const listed_backend&);
+    awaitable<attempt_outcome> processReply(http_exchange&, const admitted_request&, progress&, const listed_backend&, call_registry::registration&, http_head, instant sentAt, std::int64_t& unread);
     // Until when an attempt may stay without an answer.
     instant responseDeadline(const admitted_request&, const progress&, instant sentAt);
     // Whether a retry is safe and within the route's limit; does not check the retry budget.
-    static bool mayRetry(const admitted_request&, const progress&, const try_outcome&);
+    static bool mayRetry(const admitted_request&, const progress&, const attempt_outcome&);
     // Takes a retry from the shared budget; false if it is used up.
-    bool consumeRetry(const admitted_request&, const try_outcome&);
+    bool consumeRetry(const admitted_request&, const attempt_outcome&);
     // The server broke off the call or was silent for too long.
-    static bool endedByServer(const try_outcome&);
+    static bool endedByServer(const attempt_outcome&);
     // A retry of a call that its server broke off first waits for the probe of that server: if it
     // crashed, the request becomes suspected.
-    static bool mustAwaitProbe(const admitted_request&, const try_outcome&);
+    static bool mustAwaitProbe(const admitted_request&, const attempt_outcome&);
     static bool closesGroup(const admitted_request&);
     // Withdraws copies of the request that have not begun from other servers once one has crashed.
     void withdrawCopies(request_fingerprint);
     // A refusal by a server with free slots shows that its group has closed, unless it asks to back off.
     void recordRefusal(const admitted_request&, const listed_backend&, const server_notice&);
     awaitable<void> refuse(http_exchange&, const admitted_request&, const progress&, failure);
-    void logAttempt(const admitted_request&, const progress&, const listed_backend&, const try_outcome&, instant sentAt);
+    void logAttempt(const admitted_request&, const progress&, const listed_backend&, const attempt_outcome&, instant sentAt);
 
     process_context& m_context;
     decision_log& m_log;
@@ -88,7 +88,7 @@
     http_client m_client;
     call_registry m_calls;
     crash_reporter m_crashes;
-    place_giver m_slots;
+    slot_allocator m_slots;
     upstream_picker m_picker;
     shared_retry_budget m_budget;
 };
--- a/Source/gateway/upstream_picker.cpp
+++ b/Source/gateway/upstream_picker.cpp
@@ -1,6 +1,6 @@
 #include "gateway/upstream_picker.h"
 
-#include "gateway/held_caller.h"
+#include "gateway/request_wait.h"
 #include "policy/admission_wait.h"
 #include <algorithm>
 
@@ -30,7 +30,7 @@
 std::string upstream_picker::choose(const admitted_request& request, const attempted_servers& attempted) const
 {
     const instant now = m_context.now();
-    const upstream_question question { request.service, request.costs, request.parsed.promptTokens, attempted.all, attempted.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
+    const upstream_input question { request.service, request.costs, request.parsed.promptTokens, attempted.all, attempted.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
     return m_choice.choose(question, m_state.backends(), m_loads, m_groups, m_backpressure, m_context.random());
 }
 
@@ -41,7 +41,7 @@
     std::vector<server_hash> servers;
     if (m_backpressure.limits.any())
         servers = serversOf(request.service);
-    m_backpressure.limits.want(request.service, servers, request.priority, m_context.now());
+    m_backpressure.limits.requestGrants(request.service, servers, request.priority, m_context.now());
     const instant until = m_context.now() + maxGrantWait;
     std::string id = choose(request, attempted);
     while (id.empty() && m_context.now() < until && isAwaitingGrant(servers) && !exchange.callerGone()) {
@@ -94,7 +94,7 @@
         return notRun(failure_reason::no_backend, "no backend server is listed for the service", noBackendRetryAfter);
     m_backpressure.limits.recordUnserved(request.priority, now);
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_context.random());
-    return notRun(failure_reason::queue_full, "the service's servers accept no more requests now", backlogPause(request.timeLeft(now), draw));
+    return notRun(failure_reason::queue_full, "the service's servers accept no more requests now", backlogRetryDelay(request.timeLeft(now), draw));
 }
 
 // The notice is ignored if the reply came from another server or was no answer.
--- a/Tests/platform/crash-gossip/test.cpp
+++ b/Tests/platform/crash-gossip/test.cpp
@@ -25,7 +25,7 @@
 
     gateway::peer_datagram makeDatagram() const override;
     void send(const std::string& host, const gateway::peer_datagram&) override;
-    bool blocks() const { return history.barredFor(crashingRequest, boot_clock::now()).has_value(); }
+    bool blocks() const { return history.blockedFor(crashingRequest, boot_clock::now()).has_value(); }
 
     network& net;
     std::string host;
@@ -96,7 +96,7 @@
 void crashTwice(node& seenBy)
 {
     for (const std::uint32_t server : { 10U, 11U })
-        seenBy.history.noteCrash(crashingRequest, server, 0, boot_clock::now());
+        seenBy.history.recordCrash(crashingRequest, server, 0, boot_clock::now());
     seenBy.gossip.publish();
 }
 
--- a/Tests/platform/crash-news/test.cpp
+++ b/Tests/platform/crash-news/test.cpp
@@ -75,8 +75,8 @@
     for (std::uint32_t crash = 0; crash < 2; ++crash) {
         // Different VMs see the crashes, each with some of the requests that ran beside it.
         for (std::uint64_t neighbour = 0; neighbour < 16; ++neighbour)
-            all.histories[all.random() % entries].noteCrash({ 100 * (crash + 1) + neighbour }, crash, neighbour % 4, all.now);
-        all.histories[all.random() % entries].noteCrash(crashingRequest, crash, 0, all.now);
+            all.histories[all.random() % entries].recordCrash({ 100 * (crash + 1) + neighbour }, crash, neighbour % 4, all.now);
+        all.histories[all.random() % entries].recordCrash(crashingRequest, crash, 0, all.now);
         for (int i = 0; i < 10; ++i)
             all.gossipStep();
     }
@@ -91,13 +91,13 @@
     crash_history informed;
     crash_history missed;
     for (const std::uint32_t server : { 1U, 2U })
-        informed.noteCrash({ 1 }, server, 0, instant {});
+        informed.recordCrash({ 1 }, server, 0, instant {});
     REQUIRE(informed.digest() != missed.digest());
     gateway::peer_datagram datagram;
     addCrashes(*datagram.mutable_crashes(), informed.repeated(instant {} + milliseconds(5'000)));
     mergeCrashes(datagram.crashes(), missed, instant {} + milliseconds(900'000));
     CHECK(informed.digest() == missed.digest());
-    CHECK(missed.barredFor({ 1 }, instant {} + milliseconds(900'000)) == milliseconds(595'000));
+    CHECK(missed.blockedFor({ 1 }, instant {} + milliseconds(900'000)) == milliseconds(595'000));
 }
 
 TEST_CASE("330 servers of a zone that crash together do not overload any link, and the gossip ends")
--- a/Tests/platform/decoding/answers.cpp
+++ b/Tests/platform/decoding/answers.cpp
@@ -43,7 +43,7 @@
             head.set("Content-Encoding", "gzip");
         if (notExecuted)
             head.set("X-Not-Executed", "shed");
-        const reply_kind kind = codec.judge(head, request).kind;
+        const reply_kind kind = codec.classify(head, request).kind;
         if (kind == reply_kind::answer) {
             RC_ASSERT(isSigned);
             RC_ASSERT(!encoded);
@@ -66,7 +66,7 @@
         failed.ran = *rc::gen::element(verdict::not_run, verdict::may_have_run, verdict::ran);
         if (*rc::gen::arbitrary<bool>())
             failed.retryAfter = milliseconds(*rc::gen::inRange(0, 5'000));
-        const http_response answer = codec.refuse(failed, "id1");
+        const http_response answer = codec.makeRefusal(failed, "id1");
         RC_ASSERT(answer.result_int() >= 400U);
         RC_ASSERT(answer.count("X-Server-Signature") == 0U);
         RC_ASSERT(answer["X-Attempt-Id"] == "id1");
--- a/Tests/platform/decoding/test.cpp
+++ b/Tests/platform/decoding/test.cpp
@@ -172,37 +172,37 @@
     http_head head;
     head.result(200);
     head.set("X-Attempt-Id", "id1");
-    CHECK((codec.judge(head, request).kind == reply_kind::unreadable));
+    CHECK((codec.classify(head, request).kind == reply_kind::unreadable));
     head.set("X-Server-Signature", "s");
-    CHECK((codec.judge(head, request).kind == reply_kind::answer));
+    CHECK((codec.classify(head, request).kind == reply_kind::answer));
     head.set("Content-Encoding", "gzip");
-    CHECK((codec.judge(head, request).kind == reply_kind::unreadable));
+    CHECK((codec.classify(head, request).kind == reply_kind::unreadable));
     head.erase("Content-Encoding");
     head.set("X-Attempt-Id", "another");
-    CHECK((codec.judge(head, request).kind == reply_kind::unreadable));
+    CHECK((codec.classify(head, request).kind == reply_kind::unreadable));
     head.result(503);
     head.set("X-Not-Executed", "1");
-    CHECK((codec.judge(head, request).kind == reply_kind::not_executed));
+    CHECK((codec.classify(head, request).kind == reply_kind::not_executed));
     head.result(421);
-    CHECK((codec.judge(head, request).kind == reply_kind::wrong_server));
+    CHECK((codec.classify(head, request).kind == reply_kind::wrong_server));
 }
 
 TEST_CASE("a server's limit is read from any answer, and an unreadable one is named")
 {
     const http_codec codec;
     http_head head;
-    CHECK((codec.notice(head) == server_notice {}));
+    CHECK((codec.readNotice(head) == server_notice {}));
     for (const unsigned status : { 200U, 500U, 503U }) {
         head.result(status);
         head.set("Server-Limit", "1.25");
-        CHECK((codec.notice(head).limitPerSecond == 1.25));
+        CHECK((codec.readNotice(head).limitPerSecond == 1.25));
         head.set("Server-Limit", "0");
-        CHECK((codec.notice(head).limitPerSecond == 0.0));
+        CHECK((codec.readNotice(head).limitPerSecond == 0.0));
     }
     for (const auto* text : { "-1", "nan", "inf", "1 a second", "1,5" }) {
         head.set("Server-Limit", text);
-        CHECK_FALSE(codec.notice(head).limitPerSecond.has_value());
-        CHECK(codec.notice(head).unreadable == "Server-Limit");
+        CHECK_FALSE(codec.readNotice(head).limitPerSecond.has_value());
+        CHECK(codec.readNotice(head).unreadable == "Server-Limit");
     }
 }
 
@@ -212,17 +212,17 @@
     http_head head;
     head.set("Retry-After", "2.5");
     head.result(503);
-    CHECK((codec.notice(head).backoff == milliseconds(2'500)));
+    CHECK((codec.readNotice(head).backoff == milliseconds(2'500)));
     head.set("Retry-After", "0.0001");
-    CHECK((codec.notice(head).backoff == milliseconds(1)));
+    CHECK((codec.readNotice(head).backoff == milliseconds(1)));
     head.set("Retry-After", "1e300");
-    CHECK(codec.notice(head).backoff.value() > std::chrono::hours(24));
+    CHECK(codec.readNotice(head).backoff.value() > std::chrono::hours(24));
     head.set("Retry-After", "soon");
-    CHECK_FALSE(codec.notice(head).backoff.has_value());
-    CHECK(codec.notice(head).unreadable == "Retry-After");
+    CHECK_FALSE(codec.readNotice(head).backoff.has_value());
+    CHECK(codec.readNotice(head).unreadable == "Retry-After");
     head.set("Retry-After", "2.5");
     head.result(200);
-    CHECK((codec.notice(head) == server_notice {}));
+    CHECK((codec.readNotice(head) == server_notice {}));
 }
 
 TEST_CASE("a server that leaves says so in any answer")
@@ -232,13 +232,13 @@
     for (const unsigned status : { 200U, 500U, 503U }) {
         head.result(status);
         head.set("Server-Leaving", "1");
-        CHECK(codec.notice(head).leaving);
+        CHECK(codec.readNotice(head).leaving);
         head.set("Server-Leaving", "0");
-        CHECK((codec.notice(head) == server_notice {}));
+        CHECK((codec.readNotice(head) == server_notice {}));
     }
     head.set("Server-Leaving", "soon");
-    CHECK_FALSE(codec.notice(head).leaving);
-    CHECK(codec.notice(head).unreadable == "Server-Leaving");
+    CHECK_FALSE(codec.readNotice(head).leaving);
+    CHECK(codec.readNotice(head).unreadable == "Server-Leaving");
 }
 
 TEST_CASE("statuses that promise that nothing ran are kept for what surely did not run")
@@ -246,15 +246,15 @@
     const http_codec codec;
     const auto reasons = { failure_reason::no_backend, failure_reason::queue_full, failure_reason::not_ready, failure_reason::connection_lost, failure_reason::deadline, failure_reason::backend_error };
     for (const auto reason : reasons) {
-        const auto ran = codec.refuse(mayHaveRun(reason, "x"), "id1");
+        const auto ran = codec.makeRefusal(mayHaveRun(reason, "x"), "id1");
         CHECK((ran.result_int() == 502 || ran.result_int() == 504));
-        const auto never = codec.refuse(notRun(reason, "x", milliseconds(250)), "id1");
+        const auto never = codec.makeRefusal(notRun(reason, "x", milliseconds(250)), "id1");
         CHECK(never.result_int() == 503);
         CHECK(never["Retry-After"] == "0.25");
         CHECK(never["X-Attempt-Id"] == "id1");
     }
-    CHECK(codec.refuse(notRun(failure_reason::unauthenticated, "x"), "id1").result_int() == 401);
-    CHECK(codec.refuse(notRun(failure_reason::not_found, "x"), "id1").result_int() == 404);
+    CHECK(codec.makeRefusal(notRun(failure_reason::unauthenticated, "x"), "id1").result_int() == 401);
+    CHECK(codec.makeRefusal(notRun(failure_reason::not_found, "x"), "id1").result_int() == 404);
 }
 
 TEST_CASE("an engine's report and orders are spelled as the platform spells them")
--- a/Tests/platform/group-calls/test.cpp
+++ b/Tests/platform/group-calls/test.cpp
@@ -1,6 +1,6 @@
 // Guards against group calls that miss a rank or reach it twice, that need many messages from one
 // machine, or that lose time at unreachable agents, when agents forward them.
-#include "gateway/choice_codec.h"
+#include "gateway/expert_count_codec.h"
 #include "policy/call_tree.h"
 #include "policy/reachability_tracker.h"
 
@@ -112,12 +112,12 @@
         std::vector<std::uint64_t> counts(258);
         for (std::size_t e = 0; e < counts.size(); ++e)
             counts[e] = std::uniform_int_distribution<std::uint64_t>(0, 10'000 / (e + 1))(random);
-        addChoices(exact, counts);
-        addChoices(packedThenSummed, *unpackChoices(packChoices(counts)));
+        addExpertCounts(exact, counts);
+        addExpertCounts(packedThenSummed, *unpackExpertCounts(packExpertCounts(counts)));
     }
-    const std::string packed = packChoices(packedThenSummed);
+    const std::string packed = packExpertCounts(packedThenSummed);
     CHECK(packed.size() == 258 + 4);
-    const auto unpacked = *unpackChoices(packed);
+    const auto unpacked = *unpackExpertCounts(packed);
     const auto sum = static_cast<double>(std::accumulate(exact.begin(), exact.end(), std::uint64_t { 0 }));
     double error = 0;
     for (std::size_t e = 0; e < exact.size(); ++e)
@@ -127,6 +127,6 @@
 
 TEST_CASE("bytes that are not packed counts are refused")
 {
-    CHECK(unpackChoices("")->empty());
-    CHECK_FALSE(unpackChoices("abcd").has_value());
+    CHECK(unpackExpertCounts("")->empty());
+    CHECK_FALSE(unpackExpertCounts("abcd").has_value());
 }
--- a/Tests/platform/limit-exchange/test.cpp
+++ b/Tests/platform/limit-exchange/test.cpp
@@ -35,7 +35,7 @@
     gateway::peer_datagram makeDatagram() const override;
     void send(const std::string& host, const gateway::peer_datagram&) override;
     bool maySend() const { return limits.maySend(server, usualPriority, boot_clock::now()); }
-    void want() { limits.want("s", { server }, usualPriority, boot_clock::now()); }
+    void want() { limits.requestGrants("s", { server }, usualPriority, boot_clock::now()); }
 
     network& net;
     std::string host;
@@ -97,7 +97,7 @@
     , peers({ name, "a", peer_role::entry, 1 }, {}, milliseconds(3'000))
     , exchange(context, log, limits, peers, *this)
 {
-    limits.onQuestions([this] { exchange.sendGrantQueries(); });
+    limits.onGrantQuestions([this] { exchange.sendGrantQueries(); });
 }
 
 // Its sender's fields are as large as in a real datagram.
@@ -122,7 +122,7 @@
     network made(3);
     node& informed = *made.nodes[0];
     node& starting = *made.nodes[1];
-    informed.limits.noteAnswer(server, 2.0, boot_clock::now());
+    informed.limits.recordAnswer(server, 2.0, boot_clock::now());
     gateway::peer_datagram updates;
     informed.exchange.addUpdates(updates);
     CHECK(updates.limits_size() == 1);
@@ -136,7 +136,7 @@
 {
     network made(3);
     for (auto& each : made.nodes)
-        each->limits.noteAnswer(server, 20.0, boot_clock::now());
+        each->limits.recordAnswer(server, 20.0, boot_clock::now());
     node& requester = made.other();
     requester.want();
     made.settle();
@@ -155,7 +155,7 @@
 {
     network made(3);
     node& requester = made.other();
-    requester.limits.noteAnswer(server, 20.0, boot_clock::now());
+    requester.limits.recordAnswer(server, 20.0, boot_clock::now());
     made.cut.insert(made.arbiter().host);
     network::wait(joinTime);
     for (int i = 0; i < 3; ++i) {
@@ -170,9 +170,9 @@
 {
     network made(3);
     node& requester = made.other();
-    requester.limits.noteAnswer(server, 20.0, boot_clock::now());
-    made.arbiter().limits.noteAnswer(server, 20.0, boot_clock::now());
-    made.arbiter().limits.noteAnswer(server, std::nullopt, boot_clock::now() + milliseconds(2));
+    requester.limits.recordAnswer(server, 20.0, boot_clock::now());
+    made.arbiter().limits.recordAnswer(server, 20.0, boot_clock::now());
+    made.arbiter().limits.recordAnswer(server, std::nullopt, boot_clock::now() + milliseconds(2));
     network::wait(milliseconds(5));
     requester.want();
     made.settle();
--- a/Tests/platform/link-budget/test.cpp
+++ b/Tests/platform/link-budget/test.cpp
@@ -1,6 +1,6 @@
 // Checks with the real encoders that the messages of the largest planned group take no more than a third
 // of any machine's link.
-#include "gateway/choice_codec.h"
+#include "gateway/expert_count_codec.h"
 #include "gateway/peer_wire.h"
 #include "gateway/placement_codec.h"
 #include "gateway/rank_wire.h"
@@ -62,7 +62,7 @@
 {
     gateway::group_answer answer;
     if (withChoices)
-        answer.set_choices(packChoices(std::vector<std::uint64_t>(deployed.layerSets * deployed.experts, 77)));
+        answer.set_choices(packExpertCounts(std::vector<std::uint64_t>(deployed.layerSets * deployed.experts, 77)));
     for (std::size_t i = 0; i < targets; ++i) {
         auto* rank = answer.add_ranks();
         rank->set_index(static_cast<std::uint32_t>(i));
@@ -81,9 +81,9 @@
     return bytes;
 }
 
-look_plan pollPlanOf(const deployment& deployed)
+poll_plan pollPlanOf(const deployment& deployed)
 {
-    return planLooks({ deployed.agentMbps, deployed.ranks, deployed.layerSets * deployed.experts }, milliseconds(100));
+    return planPolls({ deployed.agentMbps, deployed.ranks, deployed.layerSets * deployed.experts }, milliseconds(100));
 }
 
 double shareOfLink(std::size_t bytes, milliseconds each, double mbps)
@@ -117,12 +117,12 @@
 TEST_CASE("polling all ranks and reporting their loads take at most a third of the leader's link")
 {
     for (const auto& deployed : { large, grown, threeGroups }) {
-        const look_plan plan = pollPlanOf(deployed);
+        const poll_plan plan = pollPlanOf(deployed);
         const std::size_t others = deployed.ranks - 1;
-        const auto polls = static_cast<std::size_t>(plan.looksPerCounts);
+        const auto polls = static_cast<std::size_t>(plan.pollsPerCounts);
         const std::size_t bytes = pollBytes(deployed, others, true) + (polls - 1) * pollBytes(deployed, others, false) + polls * deployed.zones * bytesOf(loadDatagrams(deployed));
-        CHECK(shareOfLink(bytes, plan.pause * plan.looksPerCounts, deployed.agentMbps) < 0.34);
-        CHECK(plan.pause * plan.looksPerCounts <= milliseconds(300));
+        CHECK(shareOfLink(bytes, plan.pause * plan.pollsPerCounts, deployed.agentMbps) < 0.34);
+        CHECK(plan.pause * plan.pollsPerCounts <= milliseconds(300));
         CHECK(plan.pause <= milliseconds(150));
     }
 }
--- a/Tests/platform/restored-store/test.cpp
+++ b/Tests/platform/restored-store/test.cpp
@@ -221,7 +221,7 @@
 {
     following_vm vm;
     const int before = vm.store.listings();
-    vm.follower.setReadersBeside([] { return true; });
+    vm.follower.setOtherReaders([] { return true; });
     vm.store.restore();
     SUBCASE("a peer sends the listing")
     {
--- a/Tests/platform/retained-items/test.cpp
+++ b/Tests/platform/retained-items/test.cpp
@@ -53,8 +53,8 @@
         peer.delta = other.state.published().since(state.published().position());
         for (const auto& [key, retained] : other.state.published().retained().all())
             peer.retained.push_back(retained);
-        peer.provenAt = other.state.published().provenAt();
-        peer.listUncertainFor = other.state.listDoubt();
+        peer.freshAsOf = other.state.published().freshAsOf();
+        peer.listUncertainFor = other.state.listUncertainFor();
         peer.listSettled = other.state.listSettled();
         peer.restoredAt = other.state.restoredAt();
         state.mergePeer(peer, "other");
@@ -152,7 +152,7 @@
     published_item next { "servers/i-2", server("ready", 300), 38, 38 };
     informed.readStore({ configurationItem(1, 1), serverItem("ready", 100, 36, 36), next }, { 2, 38 });
     CHECK_FALSE(informed.open());
-    CHECK(informed.state.backends().open("i-2"));
+    CHECK(informed.state.backends().acceptsWork("i-2"));
 }
 
 // An entry VM that had been suspended while the store was restored listed it when it resumed. It kept a server that had
@@ -164,12 +164,12 @@
     resumed.readStore({ configurationItem(1, 1) }, { 2, 3 });
     CHECK(resumed.open());
     const instant now = resumed.context.now();
-    resumed.state.notePeerRestored(1, now - milliseconds(9'000));
+    resumed.state.mergePeerRestoration(1, now - milliseconds(9'000));
     CHECK(resumed.open());
-    resumed.state.notePeerRestored(2, now - milliseconds(500));
+    resumed.state.mergePeerRestoration(2, now - milliseconds(500));
     resumed.state.runPeriodicWork();
     CHECK(resumed.open());
-    resumed.state.notePeerRestored(2, now - milliseconds(2'000));
+    resumed.state.mergePeerRestoration(2, now - milliseconds(2'000));
     resumed.state.runPeriodicWork();
     CHECK_FALSE(resumed.open());
 }
@@ -181,23 +181,23 @@
     informed.readStore({ configurationItem(61, 44) }, { 2, 46 });
     vm started;
     started.readStore({ configurationItem(61, 44) }, { 2, 46 });
-    const auto before = started.state.published().provenAt();
+    const auto before = started.state.published().freshAsOf();
     const instant later = started.context.now() + milliseconds(50);
-    started.state.notePeerProof(informed.state.summary(), later);
-    CHECK(started.state.published().provenAt() == before);
+    started.state.mergePeerFreshness(informed.state.summary(), later);
+    CHECK(started.state.published().freshAsOf() == before);
     started.mergeFrom(informed);
-    started.state.notePeerProof(informed.state.summary(), later);
-    CHECK(started.state.published().provenAt() == later);
+    started.state.mergePeerFreshness(informed.state.summary(), later);
+    CHECK(started.state.published().freshAsOf() == later);
 }
 
 TEST_CASE("a reading right after a restoration is not fresh until peers had time to report what they retain")
 {
     vm reader;
     reader.readStore({ configurationItem(61, 44) }, { 1, 46 });
-    const auto before = reader.state.published().provenAt();
+    const auto before = reader.state.published().freshAsOf();
     REQUIRE(before);
     reader.readStore({ configurationItem(61, 44) }, { 2, 44 });
-    CHECK(reader.state.published().provenAt() == before);
+    CHECK(reader.state.published().freshAsOf() == before);
 }
 
 TEST_CASE("in any order of writes, restorations, readings and exchanges no VM goes back, and all agree in the end")
--- a/Tests/platform/snapshots/test.cpp
+++ b/Tests/platform/snapshots/test.cpp
@@ -70,13 +70,13 @@
 TEST_CASE("a change that no peer of the own zone has in time is fetched from another zone")
 {
     snapshot_choice choice;
-    CHECK(choice.noteTold("far", false, at(8), at(7), zero) == std::nullopt);
-    CHECK(choice.due({ 0, 7 }, zero + milliseconds(399)) == std::nullopt);
-    CHECK(choice.due({ 0, 7 }, zero + milliseconds(400)) == "far");
-    CHECK(choice.noteTold("farther", false, at(9), at(7), zero + milliseconds(450)) == "farther");
+    CHECK(choice.recordPeerSummary("far", false, at(8), at(7), zero) == std::nullopt);
+    CHECK(choice.overdueFetch({ 0, 7 }, zero + milliseconds(399)) == std::nullopt);
+    CHECK(choice.overdueFetch({ 0, 7 }, zero + milliseconds(400)) == "far");
+    CHECK(choice.recordPeerSummary("farther", false, at(9), at(7), zero + milliseconds(450)) == "farther");
     // The wait starts again for a new change only after the missing ones were fetched.
-    CHECK(choice.noteTold("far", false, at(10), at(9), zero + milliseconds(500)) == std::nullopt);
-    CHECK(choice.due({ 0, 9 }, zero + milliseconds(900)) == "far");
+    CHECK(choice.recordPeerSummary("far", false, at(10), at(9), zero + milliseconds(500)) == std::nullopt);
+    CHECK(choice.overdueFetch({ 0, 9 }, zero + milliseconds(900)) == "far");
 }
 
 TEST_CASE("a process without state fetches it from the first peer that reports some")
--- a/Tests/platform/start-of-all/test.cpp
+++ b/Tests/platform/start-of-all/test.cpp
@@ -110,7 +110,7 @@
     boot_timer proof(process.context.io(), milliseconds(60));
     proof.async_wait([&](boost::system::error_code) {
         CHECK(exchange.status == 0);
-        process.state.notePeerProof({ { 0, 3 }, 0 }, process.context.now());
+        process.state.mergePeerFreshness({ { 0, 3 }, 0 }, process.context.now());
     });
     process.context.io().run();
     CHECK(exchange.status == 401);
