--- a/Tests/platform/decoding/answers.cpp
+++ b/Tests/platform/decoding/answers.cpp
@@ -1,5 +1,5 @@
-// Whatever a server sends and however a request fails: no caller gets another's answer, and no
-// status promises more than is known.
+// Whatever a server answers and however a request fails: no caller gets the answer to another request,
+// and no refusal claims that a request was not run unless that is known.
 #include "platform/http_codec.h"
 
 #include <doctest/doctest.h>
@@ -17,14 +17,14 @@
     return rc::gen::element<std::string>("", "id1", "id2", "id11");
 }
 
-bool promisesNotRun(unsigned status)
+bool guaranteesNotRun(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
 } // namespace
 
-TEST_CASE("only a signed, plain answer to this very request counts")
+TEST_CASE("an answer is accepted only if it is signed, has no content encoding and belongs to the request")
 {
     CHECK(rc::check([] {
         gateway_request request;
@@ -50,7 +50,7 @@
             RC_ASSERT(!notExecuted);
             RC_ASSERT(answered.empty() || answered == "id1");
         }
-        // Only these two allow a second run of what may not be repeated.
+        // Only after these two may a request that must not run twice be sent again.
         if (kind == reply_kind::not_executed)
             RC_ASSERT(notExecuted);
         if (kind == reply_kind::wrong_server)
@@ -58,7 +58,7 @@
     }));
 }
 
-TEST_CASE("a refusal promises that nothing ran only where that is known, says when to come back, and is never signed")
+TEST_CASE("a refusal states that a request was not run only if that is known, says when to retry, and is never signed")
 {
     CHECK(rc::check([] {
         failure failed;
@@ -71,7 +71,7 @@
         RC_ASSERT(answer.count("X-Server-Signature") == 0U);
         RC_ASSERT(answer["X-Attempt-Id"] == "id1");
         if (failed.ran != verdict::not_run)
-            RC_ASSERT(!promisesNotRun(answer.result_int()));
+            RC_ASSERT(!guaranteesNotRun(answer.result_int()));
         if (answer.result_int() == 503U || answer.result_int() == 429U)
             RC_ASSERT(answer.count("Retry-After") == 1U);
     }));
--- a/Tests/platform/decoding/entries.cpp
+++ b/Tests/platform/decoding/entries.cpp
@@ -1,4 +1,4 @@
-// Entries of backend servers, also those that another writer left: they name a server whole or none.
+// Entries of backend servers in the store, which other programs may write too: each is decoded completely or rejected.
 #include "platform/item_decoder.h"
 
 #include <doctest/doctest.h>
@@ -16,30 +16,30 @@
     return item_decoder().backend({ "servers/i1", value, 9, 5 });
 }
 
-std::string with(const std::string& part, const std::string& instead)
+std::string entryWith(const std::string& part, const std::string& replacement)
 {
     std::string text = entryText;
     REQUIRE(text.find(part) != std::string::npos);
-    return text.replace(text.find(part), part.size(), instead);
+    return text.replace(text.find(part), part.size(), replacement);
 }
 
 } // namespace
 
-TEST_CASE("an entry of a server is read with the start of its process")
+TEST_CASE("a server's entry is decoded with the start time of its process")
 {
     const auto read = decode(entryText);
     REQUIRE(read);
     CHECK(read.value() == listed_backend { "i1", "m", "10.0.0.1:80", "a", 12, false, 5, 1'760'000'000'123 });
-    // Servers of earlier versions do not tell it.
-    const auto earlier = decode(with(R"(,"born":1760000000123)", ""));
+    // Servers of earlier versions do not publish the start time.
+    const auto earlier = decode(entryWith(R"(,"born":1760000000123)", ""));
     REQUIRE(earlier);
     CHECK(earlier.value().incarnation == 0);
-    const auto leaving = decode(with("ready", "draining"));
+    const auto leaving = decode(entryWith("ready", "draining"));
     REQUIRE(leaving);
     CHECK(leaving.value().draining);
 }
 
-TEST_CASE("an entry that lacks a field, or has one of another type, names no server")
+TEST_CASE("an entry that lacks a field, or has one of another type, is rejected")
 {
     const std::vector<std::string> broken {
         "",
@@ -48,31 +48,31 @@
         "not json",
         "{\"service\":\"m\"",
         "\xFF\xFE{}",
-        with(R"("service":"m",)", ""),
-        with(R"("service":"m")", R"("service":7)"),
-        with(R"("service":"m")", R"("service":"")"),
-        with(R"("address":"10.0.0.1:80",)", ""),
-        with("10.0.0.1:80", "10.0.0.1"),
-        with("10.0.0.1:80", "10.0.0.1:99999"),
-        with("10.0.0.1:80", "10.0.0.1:"),
-        with("10.0.0.1:80", "somewhere"),
-        with(R"("zone":"a",)", ""),
-        with(R"("zone":"a")", R"("zone":["a"])"),
-        with(R"("capacity":12)", R"("capacity":"12")"),
-        with(R"("capacity":12)", R"("capacity":1.5)"),
-        with(R"("capacity":12)", R"("capacity":0)"),
-        with(R"("capacity":12)", R"("capacity":-4)"),
-        with(R"("capacity":12,)", ""),
-        with(R"("state":"ready",)", ""),
-        with(R"("state":"ready")", R"("state":true)"),
-        with("ready", "open"),
-        with("ready", ""),
-        with(R"("sequence":4)", R"("sequence":null)"),
-        with(R"("cold_remaining_ms":0)", R"("cold_remaining_ms":"0")"),
-        with("1760000000123", "\"1760000000123\""),
-        with("1760000000123", "1760000000.5"),
-        with("1760000000123", "-1"),
-        with("1760000000123", "1e30"),
+        entryWith(R"("service":"m",)", ""),
+        entryWith(R"("service":"m")", R"("service":7)"),
+        entryWith(R"("service":"m")", R"("service":"")"),
+        entryWith(R"("address":"10.0.0.1:80",)", ""),
+        entryWith("10.0.0.1:80", "10.0.0.1"),
+        entryWith("10.0.0.1:80", "10.0.0.1:99999"),
+        entryWith("10.0.0.1:80", "10.0.0.1:"),
+        entryWith("10.0.0.1:80", "somewhere"),
+        entryWith(R"("zone":"a",)", ""),
+        entryWith(R"("zone":"a")", R"("zone":["a"])"),
+        entryWith(R"("capacity":12)", R"("capacity":"12")"),
+        entryWith(R"("capacity":12)", R"("capacity":1.5)"),
+        entryWith(R"("capacity":12)", R"("capacity":0)"),
+        entryWith(R"("capacity":12)", R"("capacity":-4)"),
+        entryWith(R"("capacity":12,)", ""),
+        entryWith(R"("state":"ready",)", ""),
+        entryWith(R"("state":"ready")", R"("state":true)"),
+        entryWith("ready", "open"),
+        entryWith("ready", ""),
+        entryWith(R"("sequence":4)", R"("sequence":null)"),
+        entryWith(R"("cold_remaining_ms":0)", R"("cold_remaining_ms":"0")"),
+        entryWith("1760000000123", "\"1760000000123\""),
+        entryWith("1760000000123", "1760000000.5"),
+        entryWith("1760000000123", "-1"),
+        entryWith("1760000000123", "1e30"),
     };
     for (const auto& value : broken) {
         INFO(value);
@@ -80,7 +80,7 @@
     }
 }
 
-TEST_CASE("an entry with any byte changed is read whole, or not at all")
+TEST_CASE("an entry with changed bytes is decoded completely or rejected")
 {
     CHECK(rc::check([] {
         std::string text = entryText;
--- a/Tests/platform/decoding/test.cpp
+++ b/Tests/platform/decoding/test.cpp
@@ -1,4 +1,4 @@
-// The adapter: settings, items of the store, requests and answers of the platform.
+// The platform adapter decodes and encodes settings, items of the store, requests, answers, reports and orders.
 #include "platform/http_codec.h"
 #include "platform/item_decoder.h"
 #include "platform/node_settings.h"
@@ -64,7 +64,7 @@
     CHECK(parsed.value().revocationBound == milliseconds(5'000));
 }
 
-TEST_CASE("a setting that is wrong is named with file, line, key and mend")
+TEST_CASE("an invalid setting is reported with file, line, key and remedy")
 {
     struct sample {
         std::string text;
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE("a configuration is decoded, and requests find the longest prefix and the key's workspace")
+TEST_CASE("a configuration is decoded; a request finds the route with the longest prefix and the workspace of its key")
 {
     const auto decoded = item_decoder().configuration(configurationText);
     REQUIRE(decoded);
@@ -107,7 +107,7 @@
     CHECK(pickService(*made.findRoute("h", "/a/x"), 0.91) == "p");
 }
 
-TEST_CASE("a configuration that cannot be used whole is refused whole")
+TEST_CASE("a configuration with an invalid part is refused as a whole")
 {
     const item_decoder decoder;
     CHECK_FALSE(decoder.configuration("{}"));
@@ -119,7 +119,7 @@
     CHECK(refused.error().message.find("unknown service 'p'") != std::string::npos);
 }
 
-TEST_CASE("bytes that are no answer never throw")
+TEST_CASE("decoding arbitrary bytes fails without an exception")
 {
     CHECK(rc::check([] {
         const auto bytes = *rc::gen::arbitrary<std::string>();
@@ -127,12 +127,12 @@
         RC_ASSERT(!decodeWatchAnswer(bytes));
         RC_ASSERT(!decodeRangePage(bytes, snapshot));
         RC_ASSERT(!decodeReport(bytes));
-        RC_ASSERT(!decodeCounts(bytes));
+        RC_ASSERT(!decodeExpertCounts(bytes));
         RC_ASSERT(!item_decoder().configuration(bytes));
     }));
 }
 
-TEST_CASE("a watch's answer has changes and removals")
+TEST_CASE("the answer to a watch contains changed and removed items")
 {
     const auto update = decodeWatchAnswer(R"({"events":[{"key":"servers/i1","value":"e30=","revision":412,"created":400},{"key":"servers/i2","revision":413,"deleted":true}],"read_revision":413})");
     REQUIRE(update);
@@ -143,7 +143,7 @@
     CHECK(update.value().revision == 413);
 }
 
-TEST_CASE("a request goes on with the server's id, the workspace and the time left, without the key")
+TEST_CASE("a request is forwarded with the server's id, the workspace and the time left, without the caller's key")
 {
     const http_codec codec;
     const http_request message = callerRequest();
@@ -164,7 +164,7 @@
     CHECK(upstream.count("X-Hop") == 0);
 }
 
-TEST_CASE("an answer counts only with the request's id and the engine's signature")
+TEST_CASE("an answer is accepted only with the request's id and the engine's signature")
 {
     const http_codec codec;
     gateway_request request;
@@ -187,7 +187,7 @@
     CHECK((codec.judge(head, request).kind == reply_kind::wrong_server));
 }
 
-TEST_CASE("a server's limit is read from any answer, and an unreadable one is named")
+TEST_CASE("a server's limit is read from an answer of any status, and a malformed limit is reported")
 {
     const http_codec codec;
     http_head head;
@@ -206,7 +206,7 @@
     }
 }
 
-TEST_CASE("a backoff is read in fractions of seconds, from a server that turns a request away only")
+TEST_CASE("a backoff is read in fractions of a second, and only from an answer with status 503")
 {
     const http_codec codec;
     http_head head;
@@ -225,7 +225,7 @@
     CHECK((codec.notice(head) == server_notice {}));
 }
 
-TEST_CASE("a server that leaves says so in any answer")
+TEST_CASE("an answer of any status may say that the server is leaving")
 {
     const http_codec codec;
     http_head head;
@@ -241,7 +241,7 @@
     CHECK(codec.notice(head).unreadable == "Server-Leaving");
 }
 
-TEST_CASE("statuses that promise that nothing ran are kept for what surely did not run")
+TEST_CASE("statuses that state that a request was not run are used only if that is known")
 {
     const http_codec codec;
     const auto reasons = { failure_reason::no_backend, failure_reason::queue_full, failure_reason::not_ready, failure_reason::connection_lost, failure_reason::deadline, failure_reason::backend_error };
@@ -257,7 +257,7 @@
     CHECK(codec.refuse(notRun(failure_reason::not_found, "x"), "id1").result_int() == 404);
 }
 
-TEST_CASE("an engine's report and orders are spelled as the platform spells them")
+TEST_CASE("an engine's report is decoded and an order encoded in the platform's format")
 {
     const auto view = decodeReport(R"({"phase":"combined","group":{"name":"g0","epoch":3,"rank":5,"state":"open"},"size":12,"sequence":2,"queued":1,"active":12,"pace":1.5,"step":77,"mapping":128,"prepared":{"version":256},"enabled":{"version":256,"step":80},"held":80})");
     REQUIRE(view);
--- a/Tests/platform/drain-reading/test.cpp
+++ b/Tests/platform/drain-reading/test.cpp
@@ -1,4 +1,4 @@
-// A server that drains still answers a request whose first bytes have come.
+// A draining server still answers a request of which it has received only a part.
 #include "daemon/boot_timer.h"
 #include "daemon/http_server.h"
 
@@ -25,7 +25,7 @@
     }
 };
 
-struct seen {
+struct received_answers {
     std::string partial;
     std::string idle;
 };
@@ -37,7 +37,7 @@
     co_return text;
 }
 
-awaitable<void> converse(process_context& context, http_server& server, seen& result)
+awaitable<void> drainDuringRequest(process_context& context, http_server& server, received_answers& result)
 {
     const tcp::endpoint endpoint(asio::ip::address_v4::loopback(), server.port());
     tcp::socket partial(context.io());
@@ -45,10 +45,10 @@
     co_await partial.async_connect(endpoint, asio::use_awaitable);
     co_await idle.async_connect(endpoint, asio::use_awaitable);
     co_await asio::async_write(partial, asio::buffer(std::string("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhe")), asio::use_awaitable);
-    // Until the server has accepted both and holds the first bytes in its reading.
+    // Waits until the server has accepted both connections and reads the first bytes of the request.
     while (server.openConnections() < 2) {
-        boot_timer turn(context.io(), milliseconds(1));
-        co_await turn.async_wait(asTuple);
+        boot_timer pause(context.io(), milliseconds(1));
+        co_await pause.async_wait(asTuple);
     }
     server.drain();
     co_await asio::async_write(partial, asio::buffer(std::string("llo")), asio::use_awaitable);
@@ -59,14 +59,14 @@
 
 } // namespace
 
-TEST_CASE("draining closes idle connections and answers the request that is coming in")
+TEST_CASE("draining closes idle connections and answers the request that is being received")
 {
     process_context context("server", "a", "test");
     echo_handler handler;
     auto server = http_server::listen(context, "127.0.0.1:0", {}, handler);
     REQUIRE(server);
-    seen result;
-    asio::co_spawn(context.io(), converse(context, *server.value(), result), asio::detached);
+    received_answers result;
+    asio::co_spawn(context.io(), drainDuringRequest(context, *server.value(), result), asio::detached);
     context.io().run();
     CHECK(result.partial.find("200 OK") != std::string::npos);
     CHECK(result.partial.find("Connection: close") != std::string::npos);
--- a/Tests/platform/store-epoch/test.cpp
+++ b/Tests/platform/store-epoch/test.cpp
@@ -1,5 +1,5 @@
-// The adapter's readings say of which epoch of the store they are: two pages of a listing, or a watch and its answer, may
-// lie on both sides of a restoration.
+// The store may be restored from a copy between two pages of a listing, or between a watch and its answer. Whatever the
+// adapter reads carries the store's epoch, so that revisions from before and after are not mixed.
 #include "daemon/http_server.h"
 #include "platform/store_client.h"
 
@@ -27,7 +27,7 @@
     return R"({"items":[{"key":")" + key + R"(","value":"eA==","revision":1,"created":1,"lease":0}],"has_more":)" + (more ? "true" : "false") + R"(,"read_revision":)" + std::to_string(revision) + "}";
 }
 
-// Gives out what was put in, one answer a question.
+// Answers each request with the next of the prepared answers.
 class scripted_store : public http_handler {
 public:
     awaitable<void> handle(http_exchange& exchange) override
@@ -76,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("a listing is of the epoch of all its pages, or it is none")
+TEST_CASE("a listing whose pages differ in epoch is an error")
 {
     reading_process process;
     process.store.answers.push_back(answer(200, "2", page("a", 7, true)));
@@ -90,7 +90,7 @@
     CHECK_FALSE(process.list());
 }
 
-TEST_CASE("the answer to a watch says its epoch, also where the store has no such changes")
+TEST_CASE("the answer to a watch carries the epoch, also if the store no longer has the changes")
 {
     reading_process process;
     process.store.answers.push_back(answer(200, "3", R"({"events":[],"read_revision":9})"));
@@ -104,7 +104,7 @@
     CHECK(gone.value().epoch == 4);
 }
 
-TEST_CASE("a store that does not tell its epoch, or not as a number, is in the first one")
+TEST_CASE("a store that sends no epoch, or one that is not a number, is in epoch 0")
 {
     for (const std::string epoch : { "", "x" }) {
         CAPTURE(epoch);
