--- a/Source/gateway/group_caller.cpp
+++ b/Source/gateway/group_caller.cpp
@@ -30,7 +30,7 @@
     for (std::size_t i = 0; i < ids.size(); ++i) {
         const auto* listed = m_state.backends().find(ids[i]);
         if (listed)
-            targets.push_back({ static_cast<std::uint32_t>(i), ids[i], listed->address, 0, m_reachability.trust(ids[i], m_context.now()) });
+            targets.push_back({ static_cast<std::uint32_t>(i), ids[i], listed->address, 0, m_reachability.reachability(ids[i], m_context.now()) });
     }
     return targets;
 }
@@ -66,7 +66,7 @@
         const auto target = std::find_if(targets.begin(), targets.end(), [&rank](const call_target& asked) { return asked.index == rank.index; });
         const bool throughAgent = target != targets.end() && target->reachability != agent_reachability::unreachable;
         if (throughAgent)
-            m_reachability.note(target->backendId, rank.reached, m_context.now());
+            m_reachability.record(target->backendId, rank.reached, m_context.now());
     }
 }
 
