--- a/Source/policy/crash_history.h
+++ b/Source/policy/crash_history.h
@@ -82,7 +82,7 @@
     // The caller of a blocked request came again: the block lasts its full time from now.
     void extendBlock(request_fingerprint, instant now);
 
-    // At most `limit` of the requests whose records changed since they were last taken, those with the most crashes first.
+    // Records of at most `limit` requests that changed since they were last taken, those with the most crashes first.
     aged_crash_records takeUpdates(std::size_t limit, instant now);
     bool hasUpdates() const { return !m_changed.empty(); }
     // Records of the requests under which several servers crashed, for a peer that lacks some.
--- a/Source/policy/server_limits.h
+++ b/Source/policy/server_limits.h
@@ -43,7 +43,7 @@
     server_hash server = 0;
     // Requests that may be sent within `grantLifetime`.
     int granted = 0;
-    // Time after which to ask again; a question before that gets no grants.
+    // Time after which to ask again. Asking sooner is of no use.
     milliseconds askAgain { 0 };
 
     bool operator==(const grant_answer&) const = default;
--- a/Tests/platform/opening/test.cpp
+++ b/Tests/platform/opening/test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 const instant zero {};
-constexpr int places = 612;
+constexpr int slots = 612;
 constexpr int timelyPriority = 2;
 constexpr int lastChancePriority = 3;
 constexpr int latePriority = 4;
@@ -156,7 +156,7 @@
 
     rules m_rules;
     double m_callersPerMs;
-    admission_queue m_queue { { places, 10'000 } };
+    admission_queue m_queue { { slots, 10'000 } };
     std::mt19937_64 m_random { 7 };
     instant m_now = zero;
     double m_due = 0;
--- a/Tests/requests/ledger-property/test.cpp
+++ b/Tests/requests/ledger-property/test.cpp
@@ -52,7 +52,7 @@
         CHECK((again.error().ran == verdict::may_have_run));
         CHECK(again.error().retryAfter.has_value());
     }
-    SUBCASE("running for longer than its life: not forgotten")
+    SUBCASE("running for longer than its lifetime: not dropped")
     {
         const instant late = start + small.idLife * 3;
         CHECK(ledger.claim(idOf(2), 5, late).has_value());
