--- a/Source/policy/ownership_guard.cpp
+++ b/Source/policy/ownership_guard.cpp
@@ -217,7 +217,7 @@
     if (!m_revisionConfirmed)
         return refuse(failure_reason::unproven, "not all agents of the pool have reported the same revision since the start", defaultRetryAfter);
     if (inQuarantine(now))
-        return refuse(failure_reason::unproven, "restarted without the ids of the previous run: cannot rule out that the id has run", m_memoryUnavailable ? m_quarantineFrom + m_idLife - now : duration(defaultRetryAfter));
+        return refuse(failure_reason::unproven, "started without the ids of a previous run: cannot rule out that the id has run", m_memoryUnavailable ? m_quarantineFrom + m_idLife - now : duration(defaultRetryAfter));
     for (const auto& change : m_transitions) {
         auto settled = checkTransition(change, text, now);
         if (!settled)
