--- a/Source/gateway/rank_link.cpp
+++ b/Source/gateway/rank_link.cpp
@@ -114,7 +114,7 @@
     if (query.wantsExpertCounts) {
         auto counts = co_await m_port.counts(m_ownEngine);
         if (counts)
-            addExpertCounts(pending->outcome.expertCounts, m_expertCounts.take(std::move(counts.value().counts), counts.value().incarnation));
+            addExpertCounts(pending->outcome.expertCounts, m_expertCounts.countSinceLast(std::move(counts.value().counts), counts.value().incarnation));
     }
     const auto state = co_await m_port.state(m_ownEngine);
     if (state)
