--- a/Source/gateway/request_codec.h
+++ b/Source/gateway/request_codec.h
@@ -46,7 +46,7 @@
     milliseconds timeLeft { 0 };
     std::string lastEventId;
     // 0 is the most urgent; empty for the server's default.
-    std::optional<int> urgency;
+    std::optional<int> priority;
 };
 
 enum class reply_kind {
@@ -74,7 +74,7 @@
 struct server_notice {
     // Requests per second that it accepts from all VMs together; empty if unlimited.
     std::optional<double> limitPerSecond;
-    // It refused the request and asks this process to send it nothing for so long.
+    // It refused the request and asks this process to send it nothing for this time.
     std::optional<milliseconds> backoff;
     // It accepts no new requests any more.
     bool leaving = false;
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -23,7 +23,7 @@
     // With less time left no server can answer the caller in time.
     constexpr milliseconds minTimeLeft { 20 };
     constexpr milliseconds groupPoll { 20 };
-    // A server that sends nothing for so long may have crashed silently; other gaps last up to half a
+    // A server that sends nothing for this long may have crashed silently; other gaps last up to half a
     // second.
     constexpr milliseconds longSilence { 1'000 };
     constexpr milliseconds fullRetryAfter { 200 };
--- a/Source/policy/crash_history.cpp
+++ b/Source/policy/crash_history.cpp
@@ -15,11 +15,11 @@
     constexpr std::size_t blockingEarlyCrashes = 2;
     // Crashes that block a request in any case.
     constexpr std::size_t blockingCrashes = 3;
-    // A request that has not come again for so long is dropped together with its crashes.
+    // A request that has not come again for this long is dropped together with its crashes.
     constexpr std::chrono::minutes retention { 10 };
     // The same after a single crash in the middle of its answer.
     constexpr std::chrono::minutes retentionOfOne { 1 };
-    // For so long after one crash as it began, a request is refused where another crash would close a
+    // For this time after one crash as it began, a request is refused where another crash would close a
     // group for all callers; elsewhere it begins only in one process. Several times the deadline of its
     // callers, so that a refused caller does not come back with the same call after this time.
     constexpr milliseconds suspicionTime { 60'000 };
--- a/Source/policy/engine_throttle.cpp
+++ b/Source/policy/engine_throttle.cpp
@@ -11,7 +11,7 @@
     constexpr milliseconds leavingRetryAfter { 500 };
     constexpr milliseconds minRetryDelay { 20 };
     constexpr milliseconds maxRetryDelay { 10'000 };
-    // An entry VM that was not refused for so long is taken to have no requests for the engine.
+    // An entry VM that was not refused for this long is taken to have no requests for the engine.
     constexpr milliseconds refusalLifetime { 10'000 };
 
 } // namespace
--- a/Source/policy/group_monitor.h
+++ b/Source/policy/group_monitor.h
@@ -31,7 +31,7 @@
 struct monitor_settings {
     planner_limits limits;
     demand_settings demand;
-    // The state of a rank counts as unknown once it was not observed for so long.
+    // The state of a rank counts as unknown once it was not observed for this long.
     milliseconds observationTimeout { 800 };
     // A change must shorten the predicted step time of the experts by at least this share.
     double minGain = 0.12;
@@ -42,7 +42,7 @@
     engine_costs costs;
     // Time between two plans; new counts arrive each 100 ms.
     milliseconds planInterval { 100 };
-    // A hold that belongs to no change in progress is released after so long.
+    // A hold that belongs to no change in progress is released after this time.
     milliseconds strayHoldTimeout { 250 };
 
     bool operator==(const monitor_settings&) const = default;
--- a/Source/policy/leadership.h
+++ b/Source/policy/leadership.h
@@ -10,7 +10,7 @@
 namespace rampgap {
 
 struct leadership_settings {
-    // A leader that has not called for so long counts as gone.
+    // A leader that has not called for this long counts as gone.
     milliseconds leaderTimeout { 900 };
     // The same for an agent that has just started: an active leader calls it within this time.
     milliseconds startupTimeout { 350 };
--- a/Source/policy/ownership_guard.cpp
+++ b/Source/policy/ownership_guard.cpp
@@ -232,7 +232,7 @@
     if (previous == m_self || previous.empty())
         return boost::outcome_v2::success();
     if (change.pending.contains(previous) || !majorityAtRevision())
-        return refuse(failure_reason::unproven, "the id's previous owner has not handed it over", defaultRetryAfter);
+        return refuse(failure_reason::unproven, "the id's previous owner has not handed it over, or most agents of the pool are at an older revision", defaultRetryAfter);
     if (change.lost.contains(previous) && now < change.lostUntil)
         return refuse(failure_reason::unproven, "the id's previous owner stopped without a handover", change.lostUntil - now);
     return boost::outcome_v2::success();
--- a/Source/policy/ownership_guard.h
+++ b/Source/policy/ownership_guard.h
@@ -65,7 +65,8 @@
     bool inQuarantine(instant now) const;
     // True once every agent of the pool has reported our revision after our start.
     bool revisionConfirmed() const { return m_revisionConfirmed; }
-    // True if no confirmation and no handover of another agent is pending.
+    // True if all agents of the pool have reported our revision after our start, no handover is pending
+    // and a majority of the pool is at our revision or a later one.
     bool allConfirmed() const { return m_revisionConfirmed && pendingHandovers().empty() && majorityAtRevision(); }
 
 private:
--- a/Source/policy/request_ledger.cpp
+++ b/Source/policy/request_ledger.cpp
@@ -27,7 +27,7 @@
     if (found != m_records.end()) {
         const record& existing = found->second;
         if (existing.state == phase::inherited)
-            return alreadyRan(verdict::may_have_run, "another backend server has run this id");
+            return alreadyRan(verdict::may_have_run, "another backend server may have run this id");
         if (existing.bodyDigest != bodyDigest)
             return notRun(failure_reason::key_reused, "this id was used with another body");
         if (existing.state == phase::running)
--- a/Source/policy/server_limits.cpp
+++ b/Source/policy/server_limits.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // A report that is not confirmed for so long does not apply any more. While there are requests for the
+    // A report that is not confirmed for this long does not apply any more. While there are requests for the
     // server, grants are used more often than that, and the answers confirm or change the limit.
     constexpr milliseconds reportLifetime { 30'000 };
     // How long a change is sent to peers: several rounds, each to a dozen of them.
