--- a/Source/gateway/peer_exchange.cpp
+++ b/Source/gateway/peer_exchange.cpp
@@ -25,7 +25,7 @@
     constexpr std::size_t reportFanoutOfAgent = 1;
     // Entry VMs to which a process sends a change of a group when it learns of it. This reaches all
     // of 149 in three or four rounds with 6 datagrams per entry VM; sending from each of 129 agents to
-    // each entry VM took 19,000.
+    // each entry VM would take nearly 20,000 datagrams.
     constexpr std::size_t groupFanout = 6;
     // The same for an agent: fewer, as all agents of a group see the change themselves.
     constexpr std::size_t groupFanoutOfAgent = 3;
--- a/Source/policy/admission_share.cpp
+++ b/Source/policy/admission_share.cpp
@@ -8,8 +8,7 @@
 namespace {
 
     // Fraction of the capacity that is shared out. Servers are chosen by counts that are 0.2 s old, so
-    // that with the whole capacity some ranks get a queue while others have free slots. Mean value of
-    // the answers over 15 days with faults: 0.56, against 0.55 with 1.0 and with 0.75.
+    // that with the whole capacity some ranks get a queue while others have free slots.
     constexpr double sharedFraction = 0.85;
     // Counts from engines are up to 0.3 s old: as a group opens, all waiting callers arrive at one
     // moment, and the counts show them too late.
--- a/Source/policy/admission_wait.h
+++ b/Source/policy/admission_wait.h
@@ -16,9 +16,8 @@
 inline constexpr int latePriority = 4;
 
 // Every fourth slot that becomes free is reserved for lastChancePriority: after a closure, requests that
-// can be on time would take all slots for two to three seconds. In a replay of 1,900 callers around an
-// opening, 115 were lost without the reservation, none with every fourth slot, 47 with every sixth;
-// 1,674 were on time without it, 1,551 with every fourth slot, 1,394 with every second.
+// can be on time would take all slots for two to three seconds, and callers on their last chance would get
+// no answer. Every sixth slot does not save all of those; every second makes many more requests late.
 inline constexpr int lastChanceNth = 4;
 
 // Assumed time from getting a slot to the first event until one was observed: the prompt, two passes
--- a/Source/policy/group_directory.cpp
+++ b/Source/policy/group_directory.cpp
@@ -18,8 +18,7 @@
     // How long a group is avoided after its last failure, until one request tries it again.
     constexpr milliseconds avoidTime { 1'000 };
     // Leaders publish the state of their groups each 100 to 200 ms, and other ranks and entry VMs
-    // pass it on each 250 to 400 ms: of 14,000 requests at 42 entry VMs none found an update older
-    // than 500 ms.
+    // pass it on each 250 to 400 ms: without a fault, updates are at most 500 ms old.
     constexpr milliseconds unconfirmedAfter { 600 };
     constexpr milliseconds recentlyConfirmed { 400 };
 
--- a/Source/policy/group_monitor.cpp
+++ b/Source/policy/group_monitor.cpp
@@ -17,13 +17,13 @@
     constexpr double millisecondsPerSecond = 1'000;
     // Smallest gain that justifies a change, as a share of the predicted step time: of a change
     // that copies nothing, and for each second of copying. Steps take 0.15 longer while experts are
-    // copied, and recorded demand stays for 3 s or more. With 0.9 for each second, experts that take
-    // 0.4 s to copy were copied once a shift, and the most loaded rank had 1.99 times the mean
-    // instead of 1.61 (replayed counts of four recorded days).
+    // copied, and demand stays for 3 s or more between shifts. With 0.9 for each second, experts that
+    // take 0.4 s to copy would be copied only once a shift, and the most loaded rank would have 2.0
+    // times the mean load instead of 1.6.
     constexpr double freeChangeGain = 0.03;
     constexpr double gainPerCopySecond = 0.15;
-    // The same for a group with headroom: in 30 s of replayed shifts this halves the copies (864
-    // instead of 1,721), with passes of 70 instead of 66 ms and no more late ones.
+    // The same for a group with headroom: this halves the number of copies and lengthens passes by
+    // about 0.06, which makes no more of them late.
     constexpr double minGainIfHeadroom = 0.16;
 
 } // namespace
--- a/Source/policy/peer_table.cpp
+++ b/Source/policy/peer_table.cpp
@@ -53,8 +53,8 @@
 }
 
 // The rounds in which gossip reaches all processes grow in number with the logarithm of the fleet's
-// size. With a fixed 3 s, each of 149 processes wrongly dropped two others per second (10,500 losses
-// in 30 s, counted in the logs of a day without faults).
+// size. With a fixed 3 s, each of 149 processes would wrongly drop two others per second even where
+// nothing fails.
 milliseconds peer_table::silenceLimit() const
 {
     const double spread = static_cast<double>(count(peer_role::entry) + 1) / static_cast<double>(gossipFanout);
--- a/Source/policy/placement_planner.cpp
+++ b/Source/policy/placement_planner.cpp
@@ -72,8 +72,8 @@
         double share(expert e) const { return m_shares[e] / static_cast<double>(replicas(e)); }
 
         // An expert only affects the loads of the ranks that hold it, so the loads are updated in
-        // place. Recomputed over all ranks, a plan for 129 ranks and 16 sets of 258 experts took 20 ms
-        // of a core instead of 2.
+        // place. Recomputing them over all ranks would make a plan for 129 ranks and 16 sets of 258
+        // experts take 20 ms of a core instead of 2 ms.
         void add(std::size_t rank, expert e)
         {
             addLoad(e, -1);
--- a/Source/policy/silence_limit.cpp
+++ b/Source/policy/silence_limit.cpp
@@ -8,8 +8,8 @@
 
     // An engine that is only busy has answered by this multiple of the typical delay.
     constexpr int overdueFactor = 2;
-    // Without this, on a day on which no answers were lost, 250 attempts were given up in the seconds after
-    // an opening and during a network cut, when at least 0.7 of the slots were in use.
+    // Attempts at busier engines are not given up: with 0.7 or more of the slots in use, as after a group
+    // opens and during a network cut, first events are late although no answer was lost.
     constexpr double maxBusyFraction = 0.6;
     // Time for the refusal or the first event to reach the caller.
     constexpr milliseconds callerMargin { 120 };
--- a/Source/policy/upstream_choice.cpp
+++ b/Source/policy/upstream_choice.cpp
@@ -9,21 +9,20 @@
 
 namespace {
 
-    // Time that a request in a plain service's queue takes (measured mean).
+    // Mean time that a request in a plain service's queue takes.
     constexpr double plainRequestMs = 60;
     // At a server beyond its capacity a new request waits for the end of an earlier one.
     constexpr double overCapacityMs = 400;
     // Added for each unit of pace above 1.
     constexpr double slowRankMs = 2'000;
     // Added for a server in another zone: traffic between zones is more expensive than slightly more
-    // load in the own zone. Compared with 3 ms it is 0.0085 GB a day in place of 0.0122.
+    // load in the own zone. 3 ms would cause nearly half as much traffic between zones again.
     constexpr double otherZoneMs = 20;
     // Cost of a failed attempt: its time and a unit of the retry budget.
     constexpr double failedTryMs = 600;
-    // Number of servers that one choice compares. When 40 entry VMs with counts 0.2 s old all chose
-    // the least loaded of 63, queues of 16 formed there. In a model of 149 entry VMs and 129 ranks with
-    // 0.7 of their request slots taken, 0.020 of the requests wait too long at a full rank when four
-    // are compared, 0.032 when six are.
+    // Number of servers that one choice compares. If 40 entry VMs with counts 0.2 s old all chose the
+    // least loaded of 63, queues of 16 would form there. With six instead of four, half as many
+    // requests again would wait too long at a full rank.
     constexpr int comparedServers = 4;
     // How much more often a server of the own zone is among them than another one. With five zones
     // mostly one or two of the four are of the own zone.
@@ -70,8 +69,7 @@
     // Load pattern: one rank of a group becomes five times slower, or demand shifts in one of three
     // groups. All passes of that group are too long, whichever rank a request is at, while the other
     // groups have free slots. Not decided rank by rank: entry VMs with the same old counts would all
-    // choose the few ranks that seem to have free slots (149 of them with 129 ranks: 0.024 of the
-    // requests wait too long, 0.020 without).
+    // choose the few ranks that seem to have free slots, and more requests would wait too long.
     bool runsInTime(const upstream_input& input, const group_load& load)
     {
         const milliseconds gap = passTimeLimit(input.longestGap);
