--- a/Source/daemon/admission_gate.cpp
+++ b/Source/daemon/admission_gate.cpp
@@ -16,9 +16,9 @@
 
     constexpr milliseconds shedInterval { 10 };
 
-    failure withdrawn()
+    failure callerGoneFailure()
     {
-        return notRun(failure_reason::connection_lost, "the caller went away before its turn");
+        return notRun(failure_reason::connection_lost, "the caller disconnected while the request was queued");
     }
 
 } // namespace
@@ -46,28 +46,28 @@
 {
     admission_outcome outcome;
     const admission_id id = m_queue.offer(request, m_context.now(), outcome);
-    auto own = std::make_shared<waiter>(m_context.io(), request.deadline);
-    m_waiters.emplace(id, own);
-    carryOut(outcome);
-    if (!own->started && !own->refused) {
+    auto entry = std::make_shared<waiter>(m_context.io(), request.deadline);
+    m_waiters.emplace(id, entry);
+    apply(outcome);
+    if (!entry->started && !entry->refused) {
         const caller_watch watch(exchange, [this, id] { withdraw(id); });
-        co_await own->signal.async_wait(asio::as_tuple(asio::use_awaitable));
-        if (!own->started && !own->refused) {
+        co_await entry->signal.async_wait(asio::as_tuple(asio::use_awaitable));
+        if (!entry->started && !entry->refused) {
             m_queue.withdraw(id);
-            own->refused = notRun(failure_reason::queue_full, "no turn came in time");
+            entry->refused = notRun(failure_reason::queue_full, "the request was not admitted before its deadline");
         }
     }
     m_waiters.erase(id);
-    if (own->started)
+    if (entry->started)
         co_return id;
-    co_return own->refused.value_or(withdrawn());
+    co_return entry->refused.value_or(callerGoneFailure());
 }
 
 void admission_gate::leave(admission_id id, duration ran)
 {
     admission_outcome outcome;
     m_queue.finish(id, ran, m_context.now(), outcome);
-    carryOut(outcome);
+    apply(outcome);
 }
 
 void admission_gate::withdraw(admission_id id)
@@ -76,11 +76,11 @@
     if (found == m_waiters.end() || found->second->started)
         return;
     m_queue.withdraw(id);
-    found->second->refused = withdrawn();
+    found->second->refused = callerGoneFailure();
     found->second->signal.cancel();
 }
 
-void admission_gate::carryOut(const admission_outcome& outcome)
+void admission_gate::apply(const admission_outcome& outcome)
 {
     for (const admission_id id : outcome.started) {
         const auto found = m_waiters.find(id);
@@ -109,7 +109,7 @@
             continue;
         admission_outcome outcome;
         m_queue.shed(m_context.now(), outcome);
-        carryOut(outcome);
+        apply(outcome);
     }
 }
 
--- a/Source/daemon/admission_gate.h
+++ b/Source/daemon/admission_gate.h
@@ -1,4 +1,4 @@
-// Lets requests wait for their turn at the admission queue.
+// Makes requests wait until the admission queue starts or refuses them.
 #pragma once
 
 #include "daemon/boot_timer.h"
@@ -14,13 +14,13 @@
 public:
     admission_gate(process_context&, admission_limits, bool shedding);
 
-    // Starts the loop that refuses early what is predicted to miss its deadline; without it
-    // requests wait until their deadline.
+    // Starts the loop that refuses requests as soon as they are predicted to miss their deadline;
+    // without it they wait until the deadline.
     void start();
-    // Returns when the request may start, with the id to finish it by, or is refused; a
-    // request whose caller goes away while it waits is refused as not run.
+    // Waits until the request may start, and returns the id for `leave`, or until it is refused. A
+    // request whose caller disconnects while it waits is refused as not run.
     awaitable<result<admission_id>> enter(admission_request, http_exchange&);
-    // `ran` predicts the waits of others where the gate sheds.
+    // `ran`: how long the request ran; a gate that sheds predicts the waits of others from it.
     void leave(admission_id, duration ran = duration::zero());
     void setSlots(int slots);
     // See admission_queue::reserve.
@@ -42,7 +42,7 @@
 
     awaitable<void> shedLoop();
     void withdraw(admission_id);
-    void carryOut(const admission_outcome&);
+    void apply(const admission_outcome&);
 
     process_context& m_context;
     admission_limits m_limits;
--- a/Source/daemon/caller_watch.h
+++ b/Source/daemon/caller_watch.h
@@ -1,12 +1,12 @@
-// Does something when a caller goes away, as long as this object lives.
+// Runs an action if the caller of a request disconnects during the lifetime of this object.
 #pragma once
 
 #include "daemon/http_server.h"
 
 namespace rampgap {
 
-// Declare it after what the action refers to: it must end first. An action that outlives the
-// call it cancels runs in freed memory, when the caller of a refused request closes its
+// Declare it after the objects that the action uses, so that it is destroyed first. An action that
+// outlives the call it cancels accesses freed memory if the caller of a refused request closes its
 // connection before it has read the refusal.
 class caller_watch {
 public:
--- a/Source/daemon/http_client.cpp
+++ b/Source/daemon/http_client.cpp
@@ -19,31 +19,31 @@
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr std::size_t pieceBytes = 16'384;
     constexpr std::size_t maxIdlePerAddress = 64;
-    // Below the servers' idle timeout, so that a pooled connection is seldom closed under us.
-    constexpr milliseconds idleLife { 10'000 };
+    // Below the servers' idle timeout, so that a server seldom closes a connection as it is reused.
+    constexpr milliseconds maxIdleTime { 10'000 };
     constexpr milliseconds closingMargin { 500 };
     constexpr std::uint32_t maxHeadBytes = 65'536;
 
-    failure lost(verdict ran, const std::string& what, const beast::error_code& error)
+    failure connectionFailure(verdict ran, const std::string& what, const beast::error_code& error)
     {
         const bool timedOut = error == beast::error::timeout;
         return { ran, timedOut ? failure_reason::deadline : failure_reason::connection_lost, what + ": " + error.message(), std::nullopt };
     }
 
-    // How long a connection may be used again: the server's own limit, less the time in which
-    // its closing and our next request may cross.
-    milliseconds idleLifeOf(const http_head& head)
+    // How long a connection may stay idle and still be reused: the timeout that the server states,
+    // less a margin in which its close and our next request may cross.
+    milliseconds reusableTime(const http_head& head)
     {
         constexpr std::string_view key = "timeout=";
         const std::string text = headerText(head, "Keep-Alive");
         const auto at = text.find(key);
         if (at == std::string::npos)
-            return idleLife;
+            return maxIdleTime;
         const std::int64_t seconds = std::atoll(text.c_str() + at + key.size());
-        return std::min(idleLife, milliseconds(seconds * 1'000) - closingMargin);
+        return std::min(maxIdleTime, milliseconds(seconds * 1'000) - closingMargin);
     }
 
-    // True if the server closed the connection or sent what nobody asked for.
+    // True if the server closed the connection or sent data without a request.
     bool isUnusable(tcp::socket& socket)
     {
         char byte = 0;
@@ -82,8 +82,8 @@
         m_connection->stream.close();
 }
 
-// With a plain close the system goes on sending what a machine that stands still has not
-// taken yet: its server would get the request seconds after the caller has left.
+// After a plain close the kernel still delivers unsent data to a machine that is stalled, and its
+// server would receive the request seconds after the caller has disconnected.
 void http_call::resetOnClose(bool reset)
 {
     constexpr int noLinger = 0;
@@ -94,7 +94,7 @@
 awaitable<result<void>> http_call::connect(const std::string& address, instant deadline)
 {
     if (!m_freshConnection)
-        m_connection = m_client.takeIdle(address);
+        m_connection = m_client.popIdle(address);
     if (m_connection)
         co_return boost::outcome_v2::success();
     const auto endpoint = parseEndpoint(address);
@@ -106,7 +106,7 @@
     if (error) {
         m_connection.reset();
         m_refused = error == asio::error::connection_refused;
-        failure failed = lost(verdict::not_run, "cannot connect to " + address, error);
+        failure failed = connectionFailure(verdict::not_run, "cannot connect to " + address, error);
         failed.reason = failure_reason::connection_lost;
         co_return failed;
     }
@@ -124,7 +124,7 @@
     if (!connected)
         co_return connected.error();
     if (m_cancelled)
-        co_return notRun(failure_reason::connection_lost, "the caller went away");
+        co_return notRun(failure_reason::connection_lost, "the caller disconnected");
 
     resetOnClose(true);
     if (request.find(http::field::host) == request.end())
@@ -133,16 +133,16 @@
     request.prepare_payload();
     expireStreamAt(m_connection->stream, deadline);
     const auto [writeError, written] = co_await http::async_write(m_connection->stream, request, asTuple);
-    // A server may begin to work before it has read the whole request.
+    // A server may run a request before it has read all of it.
     if (writeError)
-        co_return lost(written == 0 ? verdict::not_run : verdict::may_have_run, "cannot send to " + m_address, writeError);
+        co_return connectionFailure(written == 0 ? verdict::not_run : verdict::may_have_run, "cannot send to " + m_address, writeError);
 
     m_connection->parser.emplace();
     m_connection->parser->header_limit(maxHeadBytes);
     m_connection->parser->body_limit(boost::none);
     const auto [readError, bytes] = co_await http::async_read_header(m_connection->stream, m_connection->buffer, *m_connection->parser, asTuple);
     if (readError)
-        co_return lost(verdict::may_have_run, "no answer from " + m_address, readError);
+        co_return connectionFailure(verdict::may_have_run, "no answer from " + m_address, readError);
     if (m_client.m_context.isCut(m_address)) {
         cancel();
         co_return mayHaveRun(failure_reason::connection_lost, "cut off from " + m_address);
@@ -169,12 +169,12 @@
         if (error == http::error::need_buffer)
             error = {};
         if (error)
-            co_return lost(verdict::may_have_run, "the answer of " + m_address + " was cut off", error);
-        const std::size_t got = pieceBytes - parser.get().body().size;
-        if (got > 0)
-            co_return std::string_view(m_connection->piece.data(), got);
+            co_return connectionFailure(verdict::may_have_run, "the answer of " + m_address + " is incomplete", error);
+        const std::size_t received = pieceBytes - parser.get().body().size;
+        if (received > 0)
+            co_return std::string_view(m_connection->piece.data(), received);
     }
-    giveBack();
+    returnToPool();
     co_return std::string_view {};
 }
 
@@ -195,18 +195,18 @@
     }
 }
 
-void http_call::giveBack()
+void http_call::returnToPool()
 {
     resetOnClose(false);
-    const milliseconds life = idleLifeOf(m_connection->parser->get());
-    if (!m_connection->parser->keep_alive() || m_connection->buffer.size() > 0 || life <= milliseconds(0)) {
+    const milliseconds reusableFor = reusableTime(m_connection->parser->get());
+    if (!m_connection->parser->keep_alive() || m_connection->buffer.size() > 0 || reusableFor <= milliseconds(0)) {
         m_connection.reset();
         return;
     }
     m_connection->stream.expires_never();
     auto& idle = m_client.m_idle[m_address];
     if (idle.size() < maxIdlePerAddress)
-        idle.push_back({ std::move(m_connection), m_client.m_context.now() + life });
+        idle.push_back({ std::move(m_connection), m_client.m_context.now() + reusableFor });
     m_connection.reset();
 }
 
@@ -223,7 +223,7 @@
     m_idle.erase(address);
 }
 
-std::unique_ptr<http_call::connection> http_client::takeIdle(const std::string& address)
+std::unique_ptr<http_call::connection> http_client::popIdle(const std::string& address)
 {
     auto& idle = m_idle[address];
     while (!idle.empty()) {
--- a/Source/daemon/http_client.h
+++ b/Source/daemon/http_client.h
@@ -13,8 +13,8 @@
 
 class http_client;
 
-// One request to an upstream and its answer. The connection goes back to the pool only
-// after a whole answer, so nothing late can reach the next call.
+// One request to an upstream server and its answer. The connection returns to the pool only
+// after a complete answer, so the next call cannot receive the rest of this one.
 class http_call {
 public:
     explicit http_call(http_client&);
@@ -22,22 +22,22 @@
     http_call(const http_call&) = delete;
     http_call& operator=(const http_call&) = delete;
 
-    // Sends the request and reads the answer's head. The verdict of a failure tells
-    // whether the whole request was handed over.
+    // Sends the request and reads the head of the answer. The verdict of a failure is `not_run`
+    // only if no part of the request was sent.
     awaitable<result<http_head>> start(std::string address, http_request, instant deadline);
     // The next piece of the body; empty at its end. Valid until the next call.
     awaitable<result<std::string_view>> read();
     // Reads the rest of the body, up to `limit` bytes.
     awaitable<result<std::string>> readAll(std::size_t limit);
-    // Resets the connection; a waiting call returns with a failure.
+    // Resets the connection; a pending `start` or `read` fails.
     void cancel();
-    // Changes when a waiting or later call gives up.
+    // Replaces the deadline of pending and later reads.
     void expireAt(instant deadline);
-    // Asks for a new connection: an idle one may have been closed by the server unseen.
+    // Skips the pool: the server may have closed an idle connection without our noticing yet.
     void useFreshConnection() { m_freshConnection = true; }
-    // True if the answer's end can be told from a connection that was cut.
+    // True if the answer has a length or is chunked, so that its end differs from a lost connection.
     bool framed() const { return m_framed; }
-    // True if nothing listened at the address.
+    // True if the connection was refused: nothing listened at the address.
     bool refused() const { return m_refused; }
 
 private:
@@ -45,8 +45,8 @@
     friend class http_client;
 
     awaitable<result<void>> connect(const std::string& address, instant deadline);
-    void giveBack();
-    // How the connection ends if it is closed now: a call without its whole answer is reset.
+    void returnToPool();
+    // Whether closing the connection resets it, as is done until the answer is complete.
     void resetOnClose(bool reset);
 
     http_client& m_client;
@@ -60,16 +60,16 @@
 
 class http_client {
 public:
-    // Far above a round trip between zones, below the wait for a lost packet.
+    // Far above a round trip between zones, below the retransmission timeout of a lost packet.
     static constexpr milliseconds defaultConnectTimeout { 500 };
 
     explicit http_client(process_context&, milliseconds connectTimeout = defaultConnectTimeout);
     ~http_client();
 
-    // A call that buffers the whole answer, up to `limit` bytes.
+    // Sends a request and buffers the whole answer, up to `limit` bytes.
     awaitable<result<http_response>> fetch(std::string address, http_request, milliseconds timeout, std::size_t limit = 4'194'304);
 
-    // Closes the idle connections to a server that was started again: the other side is gone.
+    // Closes the idle connections to a server that was restarted; its previous process has ended.
     void forgetIdle(const std::string& address);
 
 private:
@@ -80,7 +80,7 @@
         instant usableUntil;
     };
 
-    std::unique_ptr<http_call::connection> takeIdle(const std::string& address);
+    std::unique_ptr<http_call::connection> popIdle(const std::string& address);
 
     process_context& m_context;
     milliseconds m_connectTimeout;
--- a/Source/daemon/http_message.cpp
+++ b/Source/daemon/http_message.cpp
@@ -41,8 +41,8 @@
 
 milliseconds toMilliseconds(double seconds)
 {
-    constexpr double longest = 30.0 * 24 * 3'600;
-    return milliseconds(static_cast<std::int64_t>(std::ceil(std::min(seconds, longest) * millisecondsPerSecond)));
+    constexpr double maxSeconds = 30.0 * 24 * 3'600;
+    return milliseconds(static_cast<std::int64_t>(std::ceil(std::min(seconds, maxSeconds) * millisecondsPerSecond)));
 }
 
 std::optional<double> headerAmount(const http::fields& fields, std::string_view name)
--- a/Source/daemon/http_message.h
+++ b/Source/daemon/http_message.h
@@ -1,4 +1,4 @@
-// HTTP types used by servers and clients alike.
+// HTTP types and helpers shared by servers and clients.
 #pragma once
 
 #include "policy/verdict.h"
@@ -25,28 +25,28 @@
 // A whole number from a header, or `fallback`.
 std::int64_t headerNumber(const http::fields&, std::string_view name, std::int64_t fallback);
 
-// Rounded up, and at the most a month.
+// Rounds up, and limits the result to 30 days.
 milliseconds toMilliseconds(double seconds);
-// A decimal number of 0 or more from a header; empty if it is absent or anything else.
+// A non-negative decimal number from a header; empty if it is absent or malformed.
 std::optional<double> headerAmount(const http::fields&, std::string_view name);
 
 http_response makeResponse(int status, std::string contentType, std::string body);
 // The answer for a failure, with its verdict, reason and `Retry-After`.
 http_response makeFailure(const failure&);
-// The failure that a peer process stated in its answer's headers; empty if it stated none.
+// The failure in the headers of a peer process's answer, if any.
 std::optional<failure> statedFailure(const http_head&);
-// The event that ends a stream which was cut off.
+// The event that ends a stream which failed after it had begun.
 std::string streamErrorEvent(const failure&);
 
 // The value of `name` in the query of a request target, empty if absent.
 std::string queryValue(std::string_view target, std::string_view name);
-// A whole number in the query, or `fallback`; 0 where it is no number.
+// A whole number in the query: `fallback` if absent, 0 if malformed.
 std::uint64_t queryNumber(std::string_view target, std::string_view name, std::uint64_t fallback);
 // The path of a request target, without its query.
 std::string pathOf(std::string_view target);
 // The host of "host:port".
 std::string hostOf(const std::string& address);
-// "host:port" as an endpoint. The text was checked when it was declared.
+// Parses "host:port", where the host is an IP address. Declared addresses were already validated.
 result<tcp::endpoint> parseEndpoint(const std::string& address);
 
 } // namespace rampgap
--- a/Source/daemon/http_server.cpp
+++ b/Source/daemon/http_server.cpp
@@ -23,25 +23,25 @@
     constexpr milliseconds acceptBackoff { 20 };
     constexpr std::size_t firstReadBytes = 4'096;
 
-    failure parseFailure(const beast::error_code& error)
+    failure requestReadFailure(const beast::error_code& error)
     {
         if (error == http::error::body_limit)
-            return notRun(failure_reason::too_large, "the body is larger than this server takes");
+            return notRun(failure_reason::too_large, "the request body exceeds the limit of this server");
         if (error == http::error::header_limit)
-            return notRun(failure_reason::headers_too_large, "the headers are larger than this server takes");
+            return notRun(failure_reason::headers_too_large, "the request headers exceed the limit of this server");
         return notRun(failure_reason::invalid_request, "malformed HTTP: " + error.message());
     }
 
-    // Framing that two programs may read differently is refused, never guessed at.
+    // Refuses framing that two programs may interpret differently: it allows request smuggling.
     std::optional<failure> framingFailure(const http_request& request)
     {
         if (request.count(http::field::host) != 1)
-            return notRun(failure_reason::invalid_request, "the request needs exactly one Host header");
+            return notRun(failure_reason::invalid_request, "the request must have exactly one Host header");
         const auto coding = request.count(http::field::transfer_encoding);
         if (coding > 0 && request.count(http::field::content_length) > 0)
-            return notRun(failure_reason::invalid_request, "the request has both a length and a transfer coding; send one");
+            return notRun(failure_reason::invalid_request, "the request has both Content-Length and Transfer-Encoding; send only one");
         if (coding > 1 || (coding == 1 && !beast::iequals(request[http::field::transfer_encoding], "chunked")))
-            return notRun(failure_reason::not_implemented, "the only transfer coding known is 'chunked'");
+            return notRun(failure_reason::not_implemented, "unsupported transfer coding: only 'chunked' is supported");
         return std::nullopt;
     }
 
@@ -57,7 +57,7 @@
         m_stream.socket().set_option(tcp::no_delay(true), ignored);
     }
 
-    // Reads the next request; false when the connection is to be closed.
+    // Reads the next request; returns false if the connection is to be closed.
     awaitable<bool> readRequest(instant& idleSince)
     {
         m_parser.emplace();
@@ -67,17 +67,17 @@
         if (m_buffer.size() == 0) {
             expireStreamAt(m_stream, idleSince + m_limits.idleTimeout);
             m_idle = true;
-            const auto [waitError, first] = co_await m_stream.async_read_some(m_buffer.prepare(firstReadBytes), asTuple);
+            const auto [waitError, received] = co_await m_stream.async_read_some(m_buffer.prepare(firstReadBytes), asTuple);
             m_idle = false;
             if (waitError)
                 co_return false;
-            m_buffer.commit(first);
+            m_buffer.commit(received);
         }
         m_receivedAt = boot_clock::now();
         expireStreamAt(m_stream, m_receivedAt + m_limits.headerTimeout);
         auto [error, bytes] = co_await http::async_read_header(m_stream, m_buffer, *m_parser, asTuple);
         if (const auto refused = error ? std::nullopt : framingFailure(m_parser->get())) {
-            m_mustClose = true;
+            m_closeAfterAnswer = true;
             co_await send(makeFailure(*refused));
             co_return false;
         }
@@ -87,11 +87,11 @@
             std::tie(error, bytes) = co_await http::async_read(m_stream, m_buffer, *m_parser, asTuple);
         if (error) {
             const bool nothingRead = error == http::error::end_of_stream || !m_parser->got_some();
-            const bool lost = error == beast::error::timeout || error == asio::error::operation_aborted || error == asio::error::connection_reset
+            const bool connectionLost = error == beast::error::timeout || error == asio::error::operation_aborted || error == asio::error::connection_reset
                 || error == http::error::partial_message || error == asio::error::eof;
-            if (!nothingRead && !lost) {
-                m_mustClose = true;
-                co_await send(makeFailure(parseFailure(error)));
+            if (!nothingRead && !connectionLost) {
+                m_closeAfterAnswer = true;
+                co_await send(makeFailure(requestReadFailure(error)));
             }
             co_return false;
         }
@@ -101,12 +101,12 @@
         m_busy = true;
         m_begun = false;
         m_finished = false;
-        m_gone = false;
+        m_callerGone = false;
         m_onGone = nullptr;
         co_return true;
     }
 
-    // Watches for the caller's going away while its request is worked on.
+    // Detects that the caller closes the connection while its request is in progress.
     void watchCaller()
     {
         m_stream.socket().async_wait(tcp::socket::wait_read, [weak = weak_from_this()](beast::error_code error) {
@@ -119,11 +119,11 @@
             const auto count = self->m_stream.socket().receive(asio::buffer(&byte, 1), tcp::socket::message_peek, peekError);
             const bool closed = (count == 0 && !peekError) || (peekError && peekError != asio::error::would_block);
             if (closed)
-                self->noteGone();
+                self->handleCallerGone();
         });
     }
 
-    void endWork()
+    void endRequest()
     {
         m_busy = false;
         m_onGone = nullptr;
@@ -131,15 +131,15 @@
         m_stream.socket().cancel(ignored);
     }
 
-    bool keepAlive() const { return m_request.keep_alive() && !m_mustClose && !m_gone && m_finished; }
+    bool keepAlive() const { return m_request.keep_alive() && !m_closeAfterAnswer && !m_callerGone && m_finished; }
     bool busy() const { return m_busy; }
-    // True if not a byte of a next request has come, also none that is still to be read.
+    // True if no byte of a next request has arrived, not even in the socket's receive buffer.
     bool idle()
     {
         beast::error_code error;
         return m_idle && m_stream.socket().available(error) == 0;
     }
-    void closeAfterAnswer() override { m_mustClose = true; }
+    void closeAfterAnswer() override { m_closeAfterAnswer = true; }
 
     void drop()
     {
@@ -157,20 +157,20 @@
     const http_request& request() const override { return m_request; }
     instant receivedAt() const override { return m_receivedAt; }
     bool begun() const override { return m_begun; }
-    bool callerGone() const override { return m_gone; }
+    bool callerGone() const override { return m_callerGone; }
     void onCallerGone(std::function<void()> action) override { m_onGone = std::move(action); }
 
     awaitable<bool> send(http_response response) override
     {
         m_begun = true;
-        response.keep_alive(m_request.keep_alive() && !m_mustClose);
+        response.keep_alive(m_request.keep_alive() && !m_closeAfterAnswer);
         if (!response.keep_alive())
-            m_mustClose = true;
+            m_closeAfterAnswer = true;
         m_stream.expires_after(m_limits.writeTimeout);
         const auto [error, bytes] = co_await http::async_write(m_stream, response, asTuple);
         m_finished = !error;
         if (error)
-            noteGone();
+            handleCallerGone();
         co_return !error;
     }
 
@@ -179,7 +179,7 @@
         m_begun = true;
         m_answer.emplace(std::move(head));
         m_answer->chunked(true);
-        m_answer->keep_alive(m_request.keep_alive() && !m_mustClose);
+        m_answer->keep_alive(m_request.keep_alive() && !m_closeAfterAnswer);
         m_answer->body().data = nullptr;
         m_answer->body().more = true;
         m_serializer.emplace(*m_answer);
@@ -211,7 +211,7 @@
 
     void abort() override
     {
-        m_mustClose = true;
+        m_closeAfterAnswer = true;
         m_finished = false;
     }
 
@@ -227,13 +227,13 @@
     {
         if (!error || error == http::error::need_buffer)
             return true;
-        noteGone();
+        handleCallerGone();
         return false;
     }
 
-    void noteGone()
+    void handleCallerGone()
     {
-        m_gone = true;
+        m_callerGone = true;
         if (const auto action = std::exchange(m_onGone, nullptr))
             action();
     }
@@ -251,8 +251,8 @@
     bool m_busy = false;
     bool m_begun = false;
     bool m_finished = false;
-    bool m_mustClose = false;
-    bool m_gone = false;
+    bool m_closeAfterAnswer = false;
+    bool m_callerGone = false;
     bool m_dropped = false;
 };
 
@@ -308,10 +308,10 @@
             continue;
         }
         const connection_id id = m_nextId++;
-        auto made = std::make_shared<connection>(std::move(socket), m_limits);
-        m_connections.emplace(id, made);
+        auto accepted = std::make_shared<connection>(std::move(socket), m_limits);
+        m_connections.emplace(id, accepted);
         m_context.counters().set(metric::connections, openConnections());
-        asio::co_spawn(m_context.io(), serve(id, std::move(made)), asio::detached);
+        asio::co_spawn(m_context.io(), serve(id, std::move(accepted)), asio::detached);
     }
 }
 
@@ -323,7 +323,7 @@
             client->closeAfterAnswer();
         client->watchCaller();
         co_await m_handler.handle(*client);
-        client->endWork();
+        client->endRequest();
         if (!client->keepAlive())
             break;
         idleSince = m_context.now();
@@ -352,8 +352,8 @@
     beast::error_code error;
     m_acceptor.non_blocking(true, error);
     while (!error) {
-        tcp::socket waiting(m_context.io());
-        m_acceptor.accept(waiting, error);
+        tcp::socket unaccepted(m_context.io());
+        m_acceptor.accept(unaccepted, error);
     }
     for (auto& [id, client] : m_connections) {
         if (!client->busy())
--- a/Source/daemon/http_server.h
+++ b/Source/daemon/http_server.h
@@ -15,15 +15,15 @@
     std::uint64_t maxBodyBytes = 1'048'576;
     int maxConnections = 4'096;
     milliseconds idleTimeout { 60'000 };
-    // From the first byte of a request to the end of its body.
+    // For the whole request, from its first byte to the end of its body.
     milliseconds headerTimeout { 60'000 };
     milliseconds writeTimeout { 30'000 };
 
     bool operator==(const http_limits&) const = default;
 };
 
-// One request of a caller and the way to answer it. Answer once: `send`, or
-// `begin` with any number of `write` and then `finish` or `abort`.
+// A request and the means to answer it. Answer it once: with `send`, or with `begin`, any number
+// of `write` and then `finish` or `abort`.
 class http_exchange {
 public:
     virtual ~http_exchange() = default;
@@ -31,19 +31,19 @@
     virtual const http_request& request() const = 0;
     // When the first byte of the request was read.
     virtual instant receivedAt() const = 0;
-    // All return false once the caller is gone.
+    // These four return false once the caller has disconnected.
     virtual awaitable<bool> send(http_response) = 0;
-    // Begins a streamed answer; its length is unknown.
+    // Begins a streamed (chunked) answer.
     virtual awaitable<bool> begin(http_head) = 0;
     virtual awaitable<bool> write(std::string_view bytes) = 0;
     virtual awaitable<bool> finish() = 0;
-    // The connection ends after this answer.
+    // Makes the connection close after this answer.
     virtual void closeAfterAnswer() = 0;
-    // Closes the connection so that the answer cannot be taken for a whole one.
+    // Closes the connection without the last chunk, so that the caller sees an incomplete answer.
     virtual void abort() = 0;
     virtual bool begun() const = 0;
     virtual bool callerGone() const = 0;
-    // Called at most once, when the caller goes away before the answer ends.
+    // Sets an action to run at most once, when the caller disconnects before the answer ends.
     virtual void onCallerGone(std::function<void()>) = 0;
 };
 
@@ -56,21 +56,21 @@
 
 class http_server {
 public:
-    // Listens on "host:port"; port 0 asks the kernel.
+    // Listens on "host:port"; with port 0 the kernel chooses a port.
     static result<std::unique_ptr<http_server>> listen(process_context&, const std::string& address, http_limits, http_handler&);
     ~http_server();
 
     unsigned short port() const;
-    // For requests that are read from now on.
+    // Applies to requests that are read from now on.
     void setLimits(const http_limits& limits) { m_limits = limits; }
     int openConnections() const { return static_cast<int>(m_connections.size()); }
 
-    // Answers from now on end their connections; new ones are still served.
+    // Closes each connection after the answer to its next request; new connections are still accepted.
     void announceClose() { m_announceClose = true; }
-    // Stops accepting; idle connections close, busy ones after their answer.
+    // Stops accepting; closes idle connections now and the others after their answer.
     void drain();
-    // Drops every connection that holds no request in work and whatever waits to be
-    // accepted: what they hold may have been sent long before.
+    // Drops every connection without a request in progress, and those not accepted yet: requests
+    // that are unread there may have been sent long ago.
     void dropUnread();
 
 private:
--- a/Tests/requests/caller-watch/test.cpp
+++ b/Tests/requests/caller-watch/test.cpp
@@ -1,4 +1,4 @@
-// The action for a caller that goes away ends with the call that it cancels.
+// Fault: the action for a disconnected caller outlives the call that it cancels, and accesses freed memory.
 #include "daemon/caller_watch.h"
 
 #include <doctest/doctest.h>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Keeps the action, as an exchange does whose caller may go away at any time.
-class kept_exchange : public http_exchange {
+// Holds the action, as an exchange does until its caller disconnects.
+class fake_exchange : public http_exchange {
 public:
     const http_request& request() const override { return m_request; }
     instant receivedAt() const override { return {}; }
@@ -22,7 +22,7 @@
     bool callerGone() const override { return false; }
     void onCallerGone(std::function<void()> action) override { m_onGone = std::move(action); }
 
-    void loseCaller()
+    void disconnectCaller()
     {
         if (const auto action = std::exchange(m_onGone, nullptr))
             action();
@@ -36,31 +36,31 @@
 
 } // namespace
 
-TEST_CASE("while a call lasts its caller's going cancels it, afterwards it does nothing")
+TEST_CASE("a caller that disconnects cancels its call, and does nothing once the call has ended")
 {
-    kept_exchange exchange;
+    fake_exchange exchange;
     int cancelled = 0;
     {
         const caller_watch watch(exchange, [&cancelled] { ++cancelled; });
         REQUIRE(exchange.watched());
-        exchange.loseCaller();
+        exchange.disconnectCaller();
         CHECK(cancelled == 1);
     }
     {
         const caller_watch watch(exchange, [&cancelled] { ++cancelled; });
     }
     CHECK_FALSE(exchange.watched());
-    exchange.loseCaller();
+    exchange.disconnectCaller();
     CHECK(cancelled == 1);
 }
 
 TEST_CASE("a call that ends by an early return leaves no action behind")
 {
-    kept_exchange exchange;
-    const auto failing = [&exchange] {
+    fake_exchange exchange;
+    const auto returnEarly = [&exchange] {
         const caller_watch watch(exchange, [] {});
         return false;
     };
-    CHECK_FALSE(failing());
+    CHECK_FALSE(returnEarly());
     CHECK_FALSE(exchange.watched());
 }
--- a/Tests/requests/cancelled-call/test.cpp
+++ b/Tests/requests/cancelled-call/test.cpp
@@ -1,4 +1,4 @@
-// A call that is given up is reset, so that nothing of it is delivered later.
+// Fault: the connection of an abandoned call is closed without a reset, so that its request is delivered later.
 #include "daemon/http_client.h"
 
 #include <boost/asio/as_tuple.hpp>
@@ -14,13 +14,13 @@
 namespace asio = boost::asio;
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
-struct seen {
+struct received_data {
     std::string bytes;
     boost::system::error_code end;
 };
 
-// Reads what a caller sends, until the connection ends in one way or the other.
-awaitable<void> readToEnd(tcp::acceptor& acceptor, http_call& call, bool cancels, seen& result)
+// Reads what the client sends until the connection is closed or reset.
+awaitable<void> readToEnd(tcp::acceptor& acceptor, http_call& call, bool cancels, received_data& result)
 {
     auto [error, socket] = co_await acceptor.async_accept(asTuple);
     REQUIRE_FALSE(error);
@@ -42,11 +42,11 @@
         failed = head.error();
 }
 
-struct conversation {
+struct test_connection {
     process_context context { "caller", "a", "test" };
     http_client client { context };
     tcp::acceptor acceptor { context.io(), { asio::ip::address_v4::loopback(), 0 } };
-    seen server;
+    received_data server;
     std::optional<failure> failed;
 
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
@@ -54,31 +54,31 @@
 
 } // namespace
 
-TEST_CASE("a call whose caller left is reset")
+TEST_CASE("a call that is cancelled is reset")
 {
-    conversation talk;
-    http_call call(talk.client);
-    asio::co_spawn(talk.context.io(), readToEnd(talk.acceptor, call, true, talk.server), asio::detached);
-    asio::co_spawn(talk.context.io(), start(call, talk.address(), milliseconds(10'000), talk.failed), asio::detached);
-    talk.context.io().run();
-    CHECK(talk.server.end == asio::error::connection_reset);
-    REQUIRE(talk.failed);
-    CHECK((talk.failed->ran == verdict::may_have_run));
+    test_connection connection;
+    http_call call(connection.client);
+    asio::co_spawn(connection.context.io(), readToEnd(connection.acceptor, call, true, connection.server), asio::detached);
+    asio::co_spawn(connection.context.io(), start(call, connection.address(), milliseconds(10'000), connection.failed), asio::detached);
+    connection.context.io().run();
+    CHECK(connection.server.end == asio::error::connection_reset);
+    REQUIRE(connection.failed);
+    CHECK((connection.failed->ran == verdict::may_have_run));
 }
 
-TEST_CASE("a call that is dropped without its answer is reset")
+TEST_CASE("a call that is destroyed before its answer is reset")
 {
-    conversation talk;
-    auto call = std::make_unique<http_call>(talk.client);
-    asio::co_spawn(talk.context.io(), readToEnd(talk.acceptor, *call, false, talk.server), asio::detached);
-    // The server never answers, and the call ends by its deadline.
+    test_connection connection;
+    auto call = std::make_unique<http_call>(connection.client);
+    asio::co_spawn(connection.context.io(), readToEnd(connection.acceptor, *call, false, connection.server), asio::detached);
+    // The server never answers, so the call ends at its deadline.
     asio::co_spawn(
-        talk.context.io(), [&]() -> awaitable<void> {
-            co_await start(*call, talk.address(), milliseconds(50), talk.failed);
+        connection.context.io(), [&]() -> awaitable<void> {
+            co_await start(*call, connection.address(), milliseconds(50), connection.failed);
             call.reset();
         },
         asio::detached);
-    talk.context.io().run();
-    CHECK(talk.server.end == asio::error::connection_reset);
-    CHECK(talk.failed);
+    connection.context.io().run();
+    CHECK(connection.server.end == asio::error::connection_reset);
+    CHECK(connection.failed);
 }
