--- a/Source/daemon/crash_watch.cpp
+++ b/Source/daemon/crash_watch.cpp
@@ -11,109 +11,110 @@
 
 namespace {
 
-    constexpr milliseconds lookPoll { 1 };
-    // A look finds nothing out where the server resets it as it ends, or does not answer in time;
-    // callers wait for what it finds.
-    constexpr int mostLooks = 3;
-    constexpr milliseconds betweenLooks { 20 };
-    // A process that ends closes its last socket within this of its first.
-    constexpr milliseconds longestEnd { 250 };
+    constexpr milliseconds resultPollInterval { 1 };
+    // A probe has no result if the connection is reset as the server ends, or is not made in time. The
+    // number of probes is limited because callers wait for the result.
+    constexpr int maxProbes = 3;
+    constexpr milliseconds probeInterval { 20 };
+    // Longest time between the first and the last socket that an ending process closes.
+    constexpr milliseconds maxShutdownTime { 250 };
 
 } // namespace
 
-crash_watch::crash_watch(process_context& context, crash_history& history, crash_listener& listener, http_request ping)
+crash_watch::crash_watch(process_context& context, crash_history& history, crash_listener& listener, http_request probeRequest)
     : m_context(context)
     , m_history(history)
     , m_listener(listener)
-    , m_ping(std::move(ping))
+    , m_probeRequest(std::move(probeRequest))
 {
 }
 
-void crash_watch::recordLost(const server_incarnation& life, const std::string& address, const lost_call& call)
+void crash_watch::recordLost(const server_incarnation& incarnation, const std::string& address, const lost_call& call)
 {
-    switch (m_detector.recordLost(life, call, m_context.now())) {
+    switch (m_detector.recordLost(incarnation, call, m_context.now())) {
     case crash_detector::finding::crashed:
-        noteCallCrashed(life, call);
+        recordCallCrashed(incarnation, call);
         break;
     case crash_detector::finding::probe:
-        asio::co_spawn(m_context.io(), look(life, address), asio::detached);
+        asio::co_spawn(m_context.io(), probe(incarnation, address), asio::detached);
         break;
     case crash_detector::finding::wait:
         break;
     }
 }
 
-void crash_watch::recordWithdrawn(const server_incarnation& life, const lost_call& call)
+void crash_watch::recordWithdrawn(const server_incarnation& incarnation, const lost_call& call)
 {
-    if (m_detector.recordWithdrawn(life, call, m_context.now()))
-        noteCallCrashed(life, call);
+    if (m_detector.recordWithdrawn(incarnation, call, m_context.now()))
+        recordCallCrashed(incarnation, call);
 }
 
-void crash_watch::noteRefused(const server_incarnation& life, const std::string& address)
+void crash_watch::recordRefusedConnection(const server_incarnation& incarnation, const std::string& address)
 {
-    if (m_detector.isUndecided(life))
-        recordCrashed(life, address, "a connection to it was refused");
+    if (m_detector.isUndecided(incarnation))
+        recordCrashed(incarnation, address, "a connection to it was refused");
 }
 
-awaitable<void> crash_watch::awaitLook(server_incarnation life)
+awaitable<void> crash_watch::awaitProbe(server_incarnation incarnation)
 {
-    while (looking(life))
-        co_await sleepFor(m_context.io(), lookPoll);
+    while (isProbing(incarnation))
+        co_await sleepFor(m_context.io(), resultPollInterval);
 }
 
-// After the last look a refused connection, a later life or the news of another process still tell.
-awaitable<void> crash_watch::look(server_incarnation life, std::string address)
+// After the last probe without a result, a crash can still be learned from a refused connection, a later
+// incarnation or a report of another process.
+awaitable<void> crash_watch::probe(server_incarnation incarnation, std::string address)
 {
-    for (int looks = 1; m_detector.isProbing(life); ++looks) {
-        const auto seen = co_await lookAtServer(m_context.io(), address, m_ping);
-        if (seen.sight == server_sight::gone) {
-            recordCrashed(life, address, "nothing listens at its address");
+    for (int probes = 1; m_detector.isProbing(incarnation); ++probes) {
+        const auto probed = co_await probeServer(m_context.io(), address, m_probeRequest);
+        if (probed.liveness == server_liveness::gone) {
+            recordCrashed(incarnation, address, "nothing listens at its address");
             co_return;
         }
-        if (seen.sight != server_sight::unknown) {
-            m_detector.recordUndecided(life);
-            co_await confirm(life, address, m_context.now());
+        if (probed.liveness != server_liveness::unknown) {
+            m_detector.recordUndecided(incarnation);
+            co_await confirm(incarnation, address, m_context.now());
             co_return;
         }
-        m_listener.onLookUnanswered(life, address, seen.reason);
-        if (looks == mostLooks) {
-            m_detector.recordUndecided(life);
+        m_listener.onProbeUnanswered(incarnation, address, probed.reason);
+        if (probes == maxProbes) {
+            m_detector.recordUndecided(incarnation);
             co_return;
         }
-        co_await sleepFor(m_context.io(), betweenLooks);
+        co_await sleepFor(m_context.io(), probeInterval);
     }
 }
 
-// Nobody waits for this: it decides whether the calls had to do with an end of the server.
-awaitable<void> crash_watch::confirm(server_incarnation life, std::string address, instant listenedAt)
+// Callers don't wait for this. It decides whether the undecided calls count as running in a crash.
+awaitable<void> crash_watch::confirm(server_incarnation incarnation, std::string address, instant listenedAt)
 {
-    co_await sleepFor(m_context.io(), longestEnd);
-    if (!m_detector.isUndecided(life))
+    co_await sleepFor(m_context.io(), maxShutdownTime);
+    if (!m_detector.isUndecided(incarnation))
         co_return;
-    const auto seen = co_await lookAtServer(m_context.io(), address, m_ping);
-    if (seen.sight == server_sight::gone && m_detector.isUndecided(life))
-        recordCrashed(life, address, "nothing listens at its address any more");
-    else if (seen.sight == server_sight::answers || seen.sight == server_sight::listens)
-        m_detector.recordAlive(life, listenedAt);
+    const auto probed = co_await probeServer(m_context.io(), address, m_probeRequest);
+    if (probed.liveness == server_liveness::gone && m_detector.isUndecided(incarnation))
+        recordCrashed(incarnation, address, "nothing listens at its address any more");
+    else if (probed.liveness == server_liveness::answers || probed.liveness == server_liveness::listens)
+        m_detector.recordAlive(incarnation, listenedAt);
 }
 
-void crash_watch::recordCrashed(const server_incarnation& life, const std::string& address, const std::string& why)
+void crash_watch::recordCrashed(const server_incarnation& incarnation, const std::string& address, const std::string& why)
 {
-    const bool isKnown = m_detector.hasCrashed(life, m_context.now());
-    const auto calls = m_detector.recordCrashed(life, m_context.now());
-    if (!isKnown) {
+    const bool alreadyKnown = m_detector.hasCrashed(incarnation, m_context.now());
+    const auto calls = m_detector.recordCrashed(incarnation, m_context.now());
+    if (!alreadyKnown) {
         m_context.counters().add(metric::servers_crashed);
-        m_listener.onServerCrashed(life, address, why, calls.size());
+        m_listener.onServerCrashed(incarnation, address, why, calls.size());
     }
     for (const auto& call : calls)
-        noteCallCrashed(life, call);
+        recordCallCrashed(incarnation, call);
 }
 
-void crash_watch::noteCallCrashed(const server_incarnation& life, const lost_call& call)
+void crash_watch::recordCallCrashed(const server_incarnation& incarnation, const lost_call& call)
 {
-    m_history.recordCrash(call.request, hashOf(life), call.events, m_context.now());
+    m_history.recordCrash(call.request, hashOf(incarnation), call.events, m_context.now());
     m_context.counters().add(metric::calls_crashed);
-    m_listener.onCallCrashed(life, call);
+    m_listener.onCallCrashed(incarnation, call);
 }
 
 } // namespace rampgap
--- a/Source/daemon/crash_watch.h
+++ b/Source/daemon/crash_watch.h
@@ -1,4 +1,4 @@
-// Finds out whether a server that ended calls has crashed.
+// Finds out whether a server that broke off calls has crashed.
 #pragma once
 
 #include "daemon/http_message.h"
@@ -8,57 +8,58 @@
 
 namespace rampgap {
 
-// Told of each finding, on the process's thread.
+// Receives each finding, on the thread of the process.
 class crash_listener {
 public:
     virtual ~crash_listener() = default;
 
-    // Once for each server; then once for each call that it was running.
+    // Called once for each incarnation that crashed.
     virtual void onServerCrashed(const server_incarnation&, const std::string& address, const std::string& why, std::size_t calls) = 0;
+    // Called after that, once for each call that the incarnation was running.
     virtual void onCallCrashed(const server_incarnation&, const lost_call&) = 0;
-    // A look brought nothing; another one follows after a few at the most.
-    virtual void onLookUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) = 0;
+    // A probe had no result. The watch gives up after a few of these.
+    virtual void onProbeUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) = 0;
 };
 
 class crash_watch {
 public:
-    // `ping`: what any server answers at once while its process works. What the watch finds goes
-    // into the history before the listener is told.
-    crash_watch(process_context&, crash_history&, crash_listener&, http_request ping);
+    // `probeRequest`: a request that any server answers at once while its process works. Findings are
+    // recorded in the history before the listener is called.
+    crash_watch(process_context&, crash_history&, crash_listener&, http_request probeRequest);
 
-    // A call ended without its answer; looks at the server if nobody does yet.
+    // A call ended without a complete answer; probes the server unless a probe is under way.
     void recordLost(const server_incarnation&, const std::string& address, const lost_call&);
-    // We ended a call whose answer had not come: it stays in question until the server has answered
-    // something newer or has ended.
+    // This process ended a call before its answer. The call stays undecided until the server answers
+    // a later one or has crashed.
     void recordWithdrawn(const server_incarnation&, const lost_call&);
-    // Nothing listened when a call to that life was to be sent.
-    void noteRefused(const server_incarnation&, const std::string& address);
-    // The server answered a call that was sent then.
-    void recordAnswered(const server_incarnation& life, instant sentAt) { m_detector.recordAnswered(life, sentAt); }
-    // True while it is being looked at.
-    bool looking(const server_incarnation& life) const { return m_detector.isProbing(life); }
-    // Returns when the server has crashed or has answered, or when this cannot be seen now.
-    awaitable<void> awaitLook(server_incarnation);
-    // It is known to have ended, for a reason that goes into the log.
+    // A connection for a call to that incarnation was refused: nothing listened at the address.
+    void recordRefusedConnection(const server_incarnation&, const std::string& address);
+    // The server answered a call that was sent at `sentAt`.
+    void recordAnswered(const server_incarnation& incarnation, instant sentAt) { m_detector.recordAnswered(incarnation, sentAt); }
+    // True until the probe that `recordLost` started has a result.
+    bool isProbing(const server_incarnation& incarnation) const { return m_detector.isProbing(incarnation); }
+    // Returns once the probes have shown a crash or a listening server, or have ended without a result.
+    awaitable<void> awaitProbe(server_incarnation);
+    // The server is known to have ended; `why` goes into the log.
     void recordCrashed(const server_incarnation&, const std::string& address, const std::string& why);
-    // The life with this hash, if calls at it are in question.
+    // The incarnation with this hash, if it is undecided whether it crashed.
     std::optional<server_incarnation> findUndecided(std::uint32_t hash) const { return m_detector.findUndecided(hash); }
-    // Lives of which it is not known whether they ended.
+    // Incarnations of which it is not known whether they ended.
     std::vector<server_incarnation> undecided() const { return m_detector.undecided(); }
-    // Forgets what nobody found out about.
-    void settle() { m_detector.expire(m_context.now()); }
+    // Drops calls and crashes that are too old to matter.
+    void expire() { m_detector.expire(m_context.now()); }
 
 private:
-    // Looks whether it has ended or works until that is known, a few times at the most.
-    awaitable<void> look(server_incarnation, std::string address);
-    // Looks once more: whoever answered may have been about to end.
+    // Probes the server until it is known whether it has ended, a limited number of times.
+    awaitable<void> probe(server_incarnation, std::string address);
+    // Probes once more, since a server that still listened may have been ending.
     awaitable<void> confirm(server_incarnation, std::string address, instant listenedAt);
-    void noteCallCrashed(const server_incarnation&, const lost_call&);
+    void recordCallCrashed(const server_incarnation&, const lost_call&);
 
     process_context& m_context;
     crash_history& m_history;
     crash_listener& m_listener;
-    http_request m_ping;
+    http_request m_probeRequest;
     crash_detector m_detector;
 };
 
--- a/Source/daemon/server_look.cpp
+++ b/Source/daemon/server_look.cpp
@@ -13,63 +13,63 @@
 namespace {
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    // A process that ends closes its connections and the socket on which it listens one after the
-    // other, and may lose the processor in between: its system lets connections in meanwhile.
-    constexpr milliseconds pingTimeout { 250 };
-    // A server that has no room for connections closes each at once, and lives.
-    constexpr int mostLooks = 3;
+    // An ending process closes its connections and its listening socket one after the other, and may be
+    // descheduled in between. The kernel accepts connections for it meanwhile.
+    constexpr milliseconds answerTimeout { 250 };
+    // A working server at its connection limit closes each connection at once.
+    constexpr int maxAttempts = 3;
 
-    struct connection_look {
+    struct connection_probe {
         // Empty if the connection was made.
-        boost::system::error_code refused;
-        // It was let in, and its connection was closed without an answer.
+        boost::system::error_code connectError;
+        // The connection was made, and closed or reset without an answer.
         bool closed = false;
         bool answered = false;
     };
 
-    awaitable<connection_look> connectAndAsk(asio::io_context& io, tcp::endpoint endpoint, const http_request& ping)
+    awaitable<connection_probe> connectAndSend(asio::io_context& io, tcp::endpoint endpoint, const http_request& probeRequest)
     {
         boost::beast::tcp_stream stream(io);
         stream.expires_after(serverConnectTimeout);
-        connection_look look;
-        const auto [refused] = co_await stream.async_connect(endpoint, asTuple);
-        look.refused = refused;
-        if (refused)
-            co_return look;
-        stream.expires_after(pingTimeout);
-        // Where this fails, so does reading, and says why.
-        co_await http::async_write(stream, ping, asTuple);
+        connection_probe probe;
+        const auto [connectError] = co_await stream.async_connect(endpoint, asTuple);
+        probe.connectError = connectError;
+        if (connectError)
+            co_return probe;
+        stream.expires_after(answerTimeout);
+        // If this fails, the read below fails too and gives the reason.
+        co_await http::async_write(stream, probeRequest, asTuple);
         char byte = 0;
-        const auto [ended, size] = co_await stream.async_read_some(asio::buffer(&byte, 1), asTuple);
-        look.answered = !ended;
-        look.closed = ended && ended != boost::beast::error::timeout;
-        co_return look;
+        const auto [readError, size] = co_await stream.async_read_some(asio::buffer(&byte, 1), asTuple);
+        probe.answered = !readError;
+        probe.closed = readError && readError != boost::beast::error::timeout;
+        co_return probe;
     }
 
 } // namespace
 
-// A refused connection is the one sure sign of an ended process, and an answer the one of a process
-// that works; one that is cut off does neither. A connection that is let in is no sign: the system
-// does that for a process that is ending, too.
-awaitable<look_outcome> lookAtServer(asio::io_context& io, std::string address, http_request ping)
+// Only a refused connection proves that the process has ended, and only an answer that it works; a
+// server that cannot be reached gives neither. A connection that is made proves nothing, since the
+// kernel accepts it for an ending process, too.
+awaitable<server_probe> probeServer(asio::io_context& io, std::string address, http_request probeRequest)
 {
-    look_outcome outcome;
+    server_probe outcome;
     const auto endpoint = parseEndpoint(address);
     if (!endpoint) {
         outcome.reason = endpoint.error().message;
         co_return outcome;
     }
-    ping.set(http::field::host, address);
-    ping.set(http::field::connection, "close");
-    auto seen = co_await connectAndAsk(io, endpoint.value(), ping);
-    for (int looks = 1; seen.closed && looks < mostLooks; ++looks)
-        seen = co_await connectAndAsk(io, endpoint.value(), ping);
-    if (seen.refused == asio::error::connection_refused)
-        outcome.sight = server_sight::gone;
-    else if (seen.refused)
-        outcome.reason = seen.refused.message();
+    probeRequest.set(http::field::host, address);
+    probeRequest.set(http::field::connection, "close");
+    auto seen = co_await connectAndSend(io, endpoint.value(), probeRequest);
+    for (int attempts = 1; seen.closed && attempts < maxAttempts; ++attempts)
+        seen = co_await connectAndSend(io, endpoint.value(), probeRequest);
+    if (seen.connectError == asio::error::connection_refused)
+        outcome.liveness = server_liveness::gone;
+    else if (seen.connectError)
+        outcome.reason = seen.connectError.message();
     else
-        outcome.sight = seen.answered || seen.closed ? server_sight::answers : server_sight::listens;
+        outcome.liveness = seen.answered || seen.closed ? server_liveness::answers : server_liveness::listens;
     co_return outcome;
 }
 
--- a/Source/daemon/server_look.h
+++ b/Source/daemon/server_look.h
@@ -1,4 +1,4 @@
-// Looks whether the process at a server's address works.
+// Probes whether the process at a server's address works.
 #pragma once
 
 #include "daemon/http_message.h"
@@ -8,26 +8,27 @@
 
 namespace rampgap {
 
-enum class server_sight {
-    // Nothing listens: its process has ended.
+enum class server_liveness {
+    // The connection was refused: nothing listens, so the process has ended.
     gone,
-    // Its process works: it answered, or closed each new connection itself.
+    // The process works: it answered, or it accepted and closed each connection.
     answers,
-    // Connections are let in, and it says nothing: it is slow, or about to end.
+    // The connection was made but not answered: the process is slow, or about to end.
     listens,
-    // It may be cut off, or the address is none.
+    // The server could not be reached, or the address is invalid.
     unknown,
 };
 
-struct look_outcome {
-    server_sight sight = server_sight::unknown;
-    // Why nothing is known; empty if something is.
+// The result of a probe.
+struct server_probe {
+    server_liveness liveness = server_liveness::unknown;
+    // Why the liveness is unknown; empty otherwise.
     std::string reason;
 
-    bool operator==(const look_outcome&) const = default;
+    bool operator==(const server_probe&) const = default;
 };
 
-// Sends `ping`, which any server that works answers at once.
-awaitable<look_outcome> lookAtServer(boost::asio::io_context&, std::string address, http_request ping);
+// Sends `probeRequest`, which any working server answers at once.
+awaitable<server_probe> probeServer(boost::asio::io_context&, std::string address, http_request probeRequest);
 
 } // namespace rampgap
