--- a/Source/agent/agent_server.cpp
+++ b/Source/agent/agent_server.cpp
@@ -328,7 +328,7 @@
             // Nothing listens there: what comes next is another life of the engine.
             m_intake.forget();
             if (call.refused())
-                m_engine.noteRefused(life);
+                m_engine.recordRefusedConnection(life);
             failed.reason = failure_reason::backend_error;
         }
         if (once && failed.ran == verdict::not_run)
--- a/Source/agent/engine_guard.cpp
+++ b/Source/agent/engine_guard.cpp
@@ -20,9 +20,9 @@
 
 awaitable<void> engine_guard::recordLost(server_incarnation life, lost_call call)
 {
-    m_watch.settle();
+    m_watch.expire();
     m_watch.recordLost(life, m_engine, call);
-    co_await m_watch.awaitLook(std::move(life));
+    co_await m_watch.awaitProbe(std::move(life));
 }
 
 void engine_guard::recordServed(request_fingerprint request)
@@ -44,7 +44,7 @@
     tell();
 }
 
-void engine_guard::onLookUnanswered(const server_incarnation&, const std::string& address, const std::string& reason)
+void engine_guard::onProbeUnanswered(const server_incarnation&, const std::string& address, const std::string& reason)
 {
     logProblem("look_unanswered", "engine=" + address + " reason=\"" + reason + "\"");
 }
--- a/Source/agent/engine_guard.h
+++ b/Source/agent/engine_guard.h
@@ -23,14 +23,14 @@
     // crashed: the entry VM then asks.
     awaitable<void> recordLost(server_incarnation, lost_call);
     // Nothing listened at its address.
-    void noteRefused(const server_incarnation& life) { m_watch.noteRefused(life, m_engine); }
+    void recordRefusedConnection(const server_incarnation& life) { m_watch.recordRefusedConnection(life, m_engine); }
     // The engine ran the request to its end.
     void recordServed(request_fingerprint);
 
 private:
     void onServerCrashed(const server_incarnation&, const std::string& address, const std::string& why, std::size_t calls) override;
     void onCallCrashed(const server_incarnation&, const lost_call&) override;
-    void onLookUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) override;
+    void onProbeUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) override;
     void tell();
 
     process_context& m_context;
--- a/Source/ctl/fleet_reader.cpp
+++ b/Source/ctl/fleet_reader.cpp
@@ -72,7 +72,7 @@
     if (!response)
         co_return response.error();
     if (response.value().result() != http::status::ok) {
-        const auto stated = statedFailure(response.value());
+        const auto stated = failureFromHeaders(response.value());
         co_return notRun(failure_reason::backend_error, address + target + ": status " + std::to_string(response.value().result_int()) + (stated ? ", " + stated->message : ""));
     }
     co_return std::move(response.value().body());
--- a/Source/daemon/crash_watch.cpp
+++ b/Source/daemon/crash_watch.cpp
@@ -1,6 +1,6 @@
 #include "daemon/crash_watch.h"
 
-#include "daemon/server_look.h"
+#include "daemon/server_probe.h"
 #include "daemon/sleep.h"
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/Source/daemon/http_client.cpp
+++ b/Source/daemon/http_client.cpp
@@ -218,7 +218,7 @@
 
 http_client::~http_client() = default;
 
-void http_client::forgetIdle(const std::string& address)
+void http_client::closeIdle(const std::string& address)
 {
     m_idle.erase(address);
 }
--- a/Source/daemon/http_client.h
+++ b/Source/daemon/http_client.h
@@ -70,7 +70,7 @@
     awaitable<result<http_response>> fetch(std::string address, http_request, milliseconds timeout, std::size_t limit = 4'194'304);
 
     // Closes the idle connections to a server that was restarted; its previous process has ended.
-    void forgetIdle(const std::string& address);
+    void closeIdle(const std::string& address);
 
 private:
     friend class http_call;
--- a/Source/daemon/http_message.cpp
+++ b/Source/daemon/http_message.cpp
@@ -77,7 +77,7 @@
     return response;
 }
 
-std::optional<failure> statedFailure(const http_head& head)
+std::optional<failure> failureFromHeaders(const http_head& head)
 {
     const auto ran = parseVerdict(headerText(head, header::verdict));
     const auto reason = parseFailureReason(headerText(head, header::reason));
--- a/Source/daemon/http_message.h
+++ b/Source/daemon/http_message.h
@@ -34,7 +34,7 @@
 // The answer for a failure, with its verdict, reason and `Retry-After`.
 http_response makeFailure(const failure&);
 // The failure in the headers of a peer process's answer, if any.
-std::optional<failure> statedFailure(const http_head&);
+std::optional<failure> failureFromHeaders(const http_head&);
 // The event that ends a stream which failed after it had begun.
 std::string streamErrorEvent(const failure&);
 
--- a/Source/daemon/server_look.cpp
+++ b/Source/daemon/server_probe.cpp
@@ -1,4 +1,4 @@
-#include "daemon/server_look.h"
+#include "daemon/server_probe.h"
 
 #include "policy/attempt_rules.h"
 #include <boost/asio/as_tuple.hpp>
--- a/Source/entry/request_dispatcher.cpp
+++ b/Source/entry/request_dispatcher.cpp
@@ -298,7 +298,7 @@
             m_table.recordConnectFailure(id, m_context.now());
     } else {
         noteHead(id, head.value());
-        failed = statedFailure(head.value());
+        failed = failureFromHeaders(head.value());
         if (failed) {
             co_await call.readAll(65'536);
             noteRefusal(id, *failed);
--- a/Source/gateway/agent_process.cpp
+++ b/Source/gateway/agent_process.cpp
@@ -1,6 +1,6 @@
 #include "gateway/agent_process.h"
 
-#include "daemon/server_look.h"
+#include "daemon/server_probe.h"
 #include "daemon/sleep.h"
 #include "gateway/rank_wire.h"
 #include <algorithm>
@@ -177,8 +177,8 @@
 {
     if (m_group.empty())
         co_return;
-    const auto probed = co_await lookAtServer(m_context.io(), m_settings.engineAddress, m_port.makeProbe());
-    if (probed.sight == server_sight::gone)
+    const auto probed = co_await probeServer(m_context.io(), m_settings.engineAddress, m_port.makeProbe());
+    if (probed.liveness == server_liveness::gone)
         m_peers->publishGroupState({ { m_settings.engineService, m_group }, { m_epoch, false } });
 }
 
--- a/Source/gateway/crash_reporter.cpp
+++ b/Source/gateway/crash_reporter.cpp
@@ -44,7 +44,7 @@
 void crash_reporter::recordRefusedConnection(const listed_backend& backend)
 {
     if (isCrashPossible(backend))
-        m_watch.noteRefused(incarnationOf(backend), backend.address);
+        m_watch.recordRefusedConnection(incarnationOf(backend), backend.address);
 }
 
 void crash_reporter::recordPeerReport(std::uint32_t incarnationHash)
@@ -70,7 +70,7 @@
     notifyUpdate();
 }
 
-void crash_reporter::onLookUnanswered(const server_incarnation& incarnation, const std::string& address, const std::string& reason)
+void crash_reporter::onProbeUnanswered(const server_incarnation& incarnation, const std::string& address, const std::string& reason)
 {
     m_log.line("look_unanswered").add("backend", incarnation.id).add("address", address).add("reason", reason);
 }
@@ -117,7 +117,7 @@
 {
     for (const auto& incarnation : m_watch.undecided())
         recordIfRestarted(incarnation, m_addresses.at(incarnation));
-    m_watch.settle();
+    m_watch.expire();
     m_history.expire(m_context.now());
     logBlocked();
     const auto undecided = m_watch.undecided();
--- a/Source/gateway/crash_reporter.h
+++ b/Source/gateway/crash_reporter.h
@@ -27,7 +27,7 @@
     void recordAnswer(const listed_backend& backend, instant sentAt) { m_watch.recordAnswered(incarnationOf(backend), sentAt); }
     // Returns when the server is known to have crashed or has answered, or when this cannot be
     // determined now.
-    awaitable<void> awaitProbe(const listed_backend& backend) { return m_watch.awaitLook(incarnationOf(backend)); }
+    awaitable<void> awaitProbe(const listed_backend& backend) { return m_watch.awaitProbe(incarnationOf(backend)); }
     // A server ran the request to completion.
     void recordServed(request_fingerprint);
     // Periodic work: logs which requests are blocked, and records the crash of a silent server once a
@@ -42,7 +42,7 @@
     void recordPeerReport(std::uint32_t incarnationHash);
     void onServerCrashed(const server_incarnation&, const std::string& address, const std::string& why, std::size_t calls) override;
     void onCallCrashed(const server_incarnation&, const lost_call&) override;
-    void onLookUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) override;
+    void onProbeUnanswered(const server_incarnation&, const std::string& address, const std::string& reason) override;
     // True if a later incarnation is listed under its id, or another server at its address.
     bool hasRestarted(const server_incarnation&, const std::string& address) const;
     void recordIfRestarted(const server_incarnation&, const std::string& address);
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -195,7 +195,7 @@
 
 void upstream_dispatcher::handleRestart(const listed_backend& backend)
 {
-    m_client.forgetIdle(backend.address);
+    m_client.closeIdle(backend.address);
     m_backpressure.forget(backendHash(backend.id), m_context.now());
     const std::size_t ended = m_calls.cancelAll(backend.id);
     if (ended > 0)
