--- a/Source/daemon/configuration_node.cpp
+++ b/Source/daemon/configuration_node.cpp
@@ -18,29 +18,31 @@
 
     constexpr int windowSize = 8;
     constexpr milliseconds watchWait { 5'000 };
-    // Every process looks at the service itself this often for each hundred listed VMs,
-    // should all readers be gone: the reads of a growing fleet stay the same.
-    constexpr milliseconds ownLookEvery { 60'000 };
-    constexpr std::size_t vmsPerLook = 100;
+    // A process that is no reader also reads the service now and then, in case all readers have failed.
+    // The interval grows by this for each `vmsPerOwnRead` listed VMs, so that the total rate of these
+    // reads does not grow with the fleet.
+    constexpr milliseconds ownReadPeriod { 60'000 };
+    constexpr std::size_t vmsPerOwnRead = 100;
     constexpr milliseconds retryPause { 500 };
     constexpr milliseconds readerCheck { 1'000 };
     constexpr milliseconds exchangeTimeout { 2'000 };
-    // Without word from any peer for this long, a process reads the service itself.
-    constexpr milliseconds lonelyAfter { 10'000 };
-    // A process whose peers are all out of reach serves what it has after this.
-    constexpr milliseconds confirmGrace { 2'000 };
+    // A process that has exchanged nothing with any peer for this long reads the service itself.
+    constexpr milliseconds peerSilenceLimit { 10'000 };
+    // A process that reaches no peer becomes ready with the declaration it has after this time.
+    constexpr milliseconds confirmationGrace { 2'000 };
     constexpr int announceFanout = 4;
     constexpr std::size_t crashesPerMessage = 20;
-    // So few entry VMs, which pick the servers, are all told of a crash at once, and so few processes
-    // in all: a caller comes again within milliseconds.
-    constexpr std::size_t toldDirectly = 12;
-    // A caller waits for its failure no longer than this until entry VMs know of the crash behind it.
-    constexpr milliseconds crashToldTimeout { 500 };
-    constexpr milliseconds crashToldPoll { 1 };
-    // A look at an engine takes a round trip on the machine.
-    constexpr milliseconds crashAnswerTimeout { 100 };
-    constexpr milliseconds secondAnnouncement { 300 };
-    // One exchange in this many goes to another zone; a standby's every second one to a reader.
+    // Up to this many entry VMs, which choose the servers, are sent a crash record directly, and so are all
+    // processes if there are no more of them: a caller may retry its request within milliseconds.
+    constexpr std::size_t maxDirectRecipients = 12;
+    // Longest time that a failure is held back from its caller until entry VMs know of the crash that caused it.
+    constexpr milliseconds crashAnnouncementTimeout { 500 };
+    constexpr milliseconds crashAnnouncementPoll { 1 };
+    // Suffices for an agent that probes its engine: that takes one round trip on its own machine.
+    constexpr milliseconds crashQueryTimeout { 100 };
+    constexpr milliseconds secondAnnouncementDelay { 300 };
+    // One random exchange in `otherZoneOneIn` goes to another zone. A process that monitors readers,
+    // to replace them if they fail, sends one in `readerOneIn` to one of them.
     constexpr unsigned otherZoneOneIn = 4;
     constexpr unsigned readerOneIn = 2;
 
@@ -63,7 +65,7 @@
     asio::co_spawn(m_context.io(), bootstrap(), asio::detached);
 }
 
-// Between 0.75 and 1.25 times `time`, so that processes do not act in step.
+// Returns 0.75 to 1.25 times `time`, so that processes do not act at the same moment.
 duration configuration_node::jittered(duration time)
 {
     return time * (750 + static_cast<int>(m_context.random()() % 501)) / 1000;
@@ -75,15 +77,15 @@
         co_await exchangeWith(address, address, makeRequest());
     auto vms = co_await m_platform.watchVms({}, milliseconds(0));
     if (vms)
-        takeVms(std::move(vms.value()));
+        applyVmList(std::move(vms.value()));
     co_await readWindow();
     asio::co_spawn(m_context.io(), watchDeclarationsLoop(), asio::detached);
     asio::co_spawn(m_context.io(), watchVmsLoop(), asio::detached);
     asio::co_spawn(m_context.io(), exchangeLoop(), asio::detached);
 }
 
-// Reads the latest documents; for a process that has none in force. A window that does
-// not show what was in force is made longer, up to the whole history.
+// Reads the latest documents until a declaration is in force. If a window is too short to tell
+// which declaration is in force, a longer one is read, up to the whole history.
 awaitable<void> configuration_node::readWindow()
 {
     for (int count = windowSize; !m_chain.inForce(); count *= windowSize) {
@@ -92,7 +94,7 @@
             co_return;
         const bool whole = window.value().size() < static_cast<std::size_t>(count);
         for (const auto& outcome : m_chain.offerWindow(window.value(), whole))
-            report(outcome, "service");
+            applyOutcome(outcome, "service");
         if (whole)
             break;
     }
@@ -112,37 +114,37 @@
 
 bool configuration_node::isReader() const
 {
-    const bool lonely = m_context.now() - m_lastPeer > lonelyAfter;
-    return lonely || m_vms.vms.empty() || isChosenReader(m_context.name(), ownReaderOrder(), m_unreachable);
+    const bool peersSilent = m_context.now() - m_lastPeer > peerSilenceLimit;
+    return peersSilent || m_vms.vms.empty() || isChosenReader(m_context.name(), ownReaderOrder(), m_unreachable);
 }
 
 bool configuration_node::ready() const
 {
     if (!m_chain.inForce())
         return false;
-    return m_peerSeen || m_context.now() - m_context.startedAt() > confirmGrace;
+    return m_peerConfirmed || m_context.now() - m_context.startedAt() > confirmationGrace;
 }
 
-duration configuration_node::ownLookPause()
+duration configuration_node::ownReadInterval()
 {
-    const auto hundreds = static_cast<int>(1 + m_vms.vms.size() / vmsPerLook);
-    return jittered(ownLookEvery * hundreds);
+    const auto hundreds = static_cast<int>(1 + m_vms.vms.size() / vmsPerOwnRead);
+    return jittered(ownReadPeriod * hundreds);
 }
 
-// A reader always may; any other process once in a while.
-bool configuration_node::mayLook(instant& nextOwnLook)
+// True for a reader at any time, and for any other process once per `ownReadInterval`.
+bool configuration_node::mayReadService(instant& nextOwnRead)
 {
-    if (!isReader() && m_context.now() < nextOwnLook)
+    if (!isReader() && m_context.now() < nextOwnRead)
         return false;
-    nextOwnLook = m_context.now() + ownLookPause();
+    nextOwnRead = m_context.now() + ownReadInterval();
     return true;
 }
 
 awaitable<void> configuration_node::watchDeclarationsLoop()
 {
-    instant nextOwnLook = m_context.now() + ownLookPause();
+    instant nextOwnRead = m_context.now() + ownReadInterval();
     for (;;) {
-        if (!mayLook(nextOwnLook)) {
+        if (!mayReadService(nextOwnRead)) {
             co_await sleepFor(m_context.io(), jittered(readerCheck));
             continue;
         }
@@ -157,15 +159,15 @@
             continue;
         }
         for (const auto& document : documents.value())
-            takeOutcome(m_chain.offerPublished(document), "service");
+            applyAndAnnounce(m_chain.offerPublished(document), "service");
     }
 }
 
 awaitable<void> configuration_node::watchVmsLoop()
 {
-    instant nextOwnLook = m_context.now() + ownLookPause();
+    instant nextOwnRead = m_context.now() + ownReadInterval();
     for (;;) {
-        if (!mayLook(nextOwnLook)) {
+        if (!mayReadService(nextOwnRead)) {
             co_await sleepFor(m_context.io(), jittered(readerCheck));
             continue;
         }
@@ -173,7 +175,7 @@
         if (!list)
             co_await sleepFor(m_context.io(), jittered(retryPause));
         else
-            takeVms(std::move(list.value()));
+            applyVmList(std::move(list.value()));
     }
 }
 
@@ -183,21 +185,21 @@
         m_crashes.expire(m_context.now());
         if (const auto peer = randomPeer())
             co_await exchangeWith(peer->address, peer->name, makeRequest());
-        // Until it is ready, a process asks more often.
+        // A process that is not ready yet exchanges more often.
         co_await sleepFor(m_context.io(), jittered(ready() ? duration(m_settings.exchangeInterval) : duration(retryPause)));
     }
 }
 
-std::vector<configuration_node::peer_place> configuration_node::peers() const
+std::vector<configuration_node::peer_endpoint> configuration_node::peers() const
 {
-    std::vector<peer_place> places;
+    std::vector<peer_endpoint> endpoints;
     for (const auto& vm : m_vms.vms) {
         if (vm.name != m_context.name() && !vm.peerAddress.empty())
-            places.push_back({ vm.name, vm.zone, vm.peerAddress, vm.role });
+            endpoints.push_back({ vm.name, vm.zone, vm.peerAddress, vm.role });
     }
     for (const auto& address : m_settings.seedPeers)
-        places.push_back({ address, m_context.zone(), address, std::nullopt });
-    return places;
+        endpoints.push_back({ address, m_context.zone(), address, std::nullopt });
+    return endpoints;
 }
 
 bool configuration_node::isResponsibleEntry(std::string_view key) const
@@ -210,7 +212,7 @@
     return rendezvousPick(key, names) == m_context.name();
 }
 
-std::optional<configuration_node::peer_place> configuration_node::randomPeer()
+std::optional<configuration_node::peer_endpoint> configuration_node::randomPeer()
 {
     const auto all = peers();
     if (all.empty())
@@ -218,24 +220,24 @@
     const auto readers = monitoredBy(m_context.name(), ownReaderOrder());
     if (!readers.empty() && m_context.random()() % readerOneIn == 0) {
         const std::string& chosen = readers[m_context.random()() % readers.size()];
-        const auto place = std::find_if(all.begin(), all.end(), [&](const peer_place& peer) { return peer.name == chosen; });
-        if (place != all.end())
-            return *place;
+        const auto endpoint = std::find_if(all.begin(), all.end(), [&](const peer_endpoint& peer) { return peer.name == chosen; });
+        if (endpoint != all.end())
+            return *endpoint;
     }
-    const bool wantOther = m_context.random()() % otherZoneOneIn == 0;
-    std::vector<peer_place> wanted;
+    const bool preferOtherZone = m_context.random()() % otherZoneOneIn == 0;
+    std::vector<peer_endpoint> candidates;
     for (const auto& peer : all) {
-        if ((peer.zone != m_context.zone()) == wantOther)
-            wanted.push_back(peer);
+        if ((peer.zone != m_context.zone()) == preferOtherZone)
+            candidates.push_back(peer);
     }
-    const auto& from = wanted.empty() ? all : wanted;
+    const auto& from = candidates.empty() ? all : candidates;
     return from[m_context.random()() % from.size()];
 }
 
 wire::ExchangeRequest configuration_node::makeRequest() const
 {
     wire::ExchangeRequest request;
-    stamp(request);
+    fillSender(request);
     request.set_vm_list_version(m_vms.version);
     request.set_vm_list_epoch(m_vms.epoch);
     addCrashes(*request.mutable_crashes(), m_crashes.repeated(m_context.now()));
@@ -257,15 +259,15 @@
     m_lastPeer = m_context.now();
     if (mergeCrashes(reply.value().crashes(), m_crashes, m_context.now()))
         tellCrashes();
-    m_peerSeen = m_peerSeen || reply.value().sender().revision() > 0;
+    m_peerConfirmed = m_peerConfirmed || reply.value().sender().revision() > 0;
     for (const auto& document : reply.value().documents()) {
         if (document.kind() == wire::Document::DECLARATION) {
-            takeOutcome(m_chain.offer(document.text(), document_source::peer), name);
+            applyAndAnnounce(m_chain.offer(document.text(), document_source::peer), name);
             continue;
         }
         auto list = parseVmList(document.text());
         if (list)
-            takeVms(std::move(list.value()));
+            applyVmList(std::move(list.value()));
     }
     co_return boost::outcome_v2::success();
 }
@@ -278,7 +280,7 @@
     m_lastPeer = m_context.now();
     m_unreachable.erase(request.sender().name());
     wire::ExchangeReply reply;
-    stamp(reply);
+    fillSender(reply);
     addCrashes(*reply.mutable_crashes(), m_crashes.repeated(m_context.now()));
     if (mergeCrashes(request.crashes(), m_crashes, m_context.now()))
         tellCrashes();
@@ -312,7 +314,7 @@
     m_pulling = false;
 }
 
-// Tells a few random processes that there is something new; they fetch it.
+// Sends the versions held here to a few random processes; those that are behind fetch the documents.
 void configuration_node::announce()
 {
     announce(makeRequest());
@@ -325,7 +327,7 @@
         asio::co_spawn(m_context.io(), announceTo(all[m_context.random()() % all.size()], request), asio::detached);
 }
 
-awaitable<void> configuration_node::announceTo(peer_place peer, wire::ExchangeRequest request)
+awaitable<void> configuration_node::announceTo(peer_endpoint peer, wire::ExchangeRequest request)
 {
     co_await exchangeWith(peer.address, peer.name, std::move(request));
 }
@@ -333,75 +335,75 @@
 void configuration_node::tellCrashes()
 {
     const auto all = peers();
-    const auto isEntry = [](const peer_place& peer) { return peer.role == vm_role::entry; };
-    const bool fewEntries = static_cast<std::size_t>(std::count_if(all.begin(), all.end(), isEntry)) <= toldDirectly;
-    const bool few = all.size() <= toldDirectly;
+    const auto isEntry = [](const peer_endpoint& peer) { return peer.role == vm_role::entry; };
+    const bool fewEntries = static_cast<std::size_t>(std::count_if(all.begin(), all.end(), isEntry)) <= maxDirectRecipients;
+    const bool fewProcesses = all.size() <= maxDirectRecipients;
     while (m_crashes.hasUpdates()) {
         auto request = makeRequest();
         addCrashes(*request.mutable_crashes(), m_crashes.takeUpdates(crashesPerMessage, m_context.now()));
         for (const auto& peer : all) {
             if (fewEntries && isEntry(peer))
-                asio::co_spawn(m_context.io(), tellEntry(peer, request), asio::detached);
-            else if (few)
+                asio::co_spawn(m_context.io(), announceToEntry(peer, request), asio::detached);
+            else if (fewProcesses)
                 asio::co_spawn(m_context.io(), announceTo(peer, request), asio::detached);
         }
-        if (!few)
+        if (!fewProcesses)
             announce(request);
     }
 }
 
-awaitable<void> configuration_node::tellEntry(peer_place entry, wire::ExchangeRequest request)
+awaitable<void> configuration_node::announceToEntry(peer_endpoint entry, wire::ExchangeRequest request)
 {
-    const bool isInReach = !m_unreachable.contains(entry.name);
-    m_entriesBeingTold += isInReach ? 1 : 0;
+    const bool isReachable = !m_unreachable.contains(entry.name);
+    m_pendingEntryAnnouncements += isReachable ? 1 : 0;
     co_await exchangeWith(entry.address, entry.name, std::move(request));
-    m_entriesBeingTold -= isInReach ? 1 : 0;
+    m_pendingEntryAnnouncements -= isReachable ? 1 : 0;
 }
 
-// The caller of a lost request may come again with its answer in hand, at another entry VM.
+// As soon as the caller of a lost request has its failure, it may retry through another entry VM.
 awaitable<void> configuration_node::awaitCrashesTold()
 {
-    const instant end = m_context.now() + crashToldTimeout;
-    while (m_entriesBeingTold > 0 && m_context.now() < end)
-        co_await sleepFor(m_context.io(), crashToldPoll);
+    const instant end = m_context.now() + crashAnnouncementTimeout;
+    while (m_pendingEntryAnnouncements > 0 && m_context.now() < end)
+        co_await sleepFor(m_context.io(), crashAnnouncementPoll);
 }
 
 awaitable<void> configuration_node::askAbout(request_fingerprint lost, std::string backend)
 {
     const auto all = peers();
-    const auto agent = std::find_if(all.begin(), all.end(), [&backend](const peer_place& peer) { return peer.name == backend; });
+    const auto agent = std::find_if(all.begin(), all.end(), [&backend](const peer_endpoint& peer) { return peer.name == backend; });
     if (agent == all.end())
         co_return;
     auto request = makeRequest();
     request.set_asked_request(lost.value);
-    const auto reply = co_await m_peers.exchange(agent->address, std::move(request), crashAnswerTimeout);
+    const auto reply = co_await m_peers.exchange(agent->address, std::move(request), crashQueryTimeout);
     if (reply && mergeCrashes(reply.value().crashes(), m_crashes, m_context.now()))
         tellCrashes();
 }
 
-void configuration_node::takeOutcome(const offer_outcome& outcome, const std::string& from)
+void configuration_node::applyAndAnnounce(const offer_outcome& outcome, const std::string& from)
 {
-    report(outcome, from);
+    applyOutcome(outcome, from);
     if (outcome.kind != offer_kind::accepted)
         return;
     announce();
-    asio::co_spawn(m_context.io(), announceLater(), asio::detached);
+    asio::co_spawn(m_context.io(), repeatAnnouncement(), asio::detached);
 }
 
-// One round of announcements misses a process in fifty; a second leaves next to none to
-// the slow exchange.
-awaitable<void> configuration_node::announceLater()
+// One round of announcements misses about one process in fifty. After a second round, almost none
+// has to wait for the periodic exchange.
+awaitable<void> configuration_node::repeatAnnouncement()
 {
-    co_await sleepFor(m_context.io(), jittered(secondAnnouncement));
+    co_await sleepFor(m_context.io(), jittered(secondAnnouncementDelay));
     announce();
 }
 
-void configuration_node::report(const offer_outcome& outcome, const std::string& from)
+void configuration_node::applyOutcome(const offer_outcome& outcome, const std::string& from)
 {
     const std::string revision = "revision=" + std::to_string(outcome.revision);
     if (outcome.kind == offer_kind::refused) {
         m_context.counters().add(metric::revisions_refused);
-        m_context.note(event_kind::revision_refused, "", revision + " from=" + from + " reason=" + outcome.reason);
+        m_context.recordEvent(event_kind::revision_refused, "", revision + " from=" + from + " reason=" + outcome.reason);
         logProblem("revision_refused", revision + " from=" + from + " reason=\"" + outcome.reason + "\"");
         return;
     }
@@ -411,15 +413,16 @@
     m_inForceSince = m_context.now();
     m_context.counters().add(metric::revisions_accepted);
     m_context.counters().set(metric::revision_in_force, static_cast<double>(m_chain.revision()));
-    m_context.note(event_kind::revision_in_force, "", revision + " from=" + from);
+    m_context.recordEvent(event_kind::revision_in_force, "", revision + " from=" + from);
     logState("revision_in_force", revision + " from=" + from);
     m_listener.onDeclaration(m_chain.inForce());
 }
 
-void configuration_node::takeVms(vm_list list)
+void configuration_node::applyVmList(vm_list list)
 {
-    // Versions are given out again after the service was restored: a list of the later epoch
-    // is the newer, or VMs that were added since would not be asked until its version passes.
+    // A service that was restored from an older copy assigns the same versions again, in a higher epoch.
+    // So the epoch is compared first: by the version alone, VMs added since the restoration would not be
+    // used until the version exceeds that of the list before it.
     if (list.position() <= m_vms.position())
         return;
     m_vms = std::move(list);
--- a/Source/daemon/configuration_node.h
+++ b/Source/daemon/configuration_node.h
@@ -1,4 +1,4 @@
-// Keeps one process at the latest accepted declaration and VM list.
+// Keeps a process up to date with the latest accepted declaration and the VM list.
 #pragma once
 
 #include "daemon/peer_link.h"
@@ -11,7 +11,7 @@
 
 class platform_source;
 
-// Told of each change, on the process's thread.
+// Called at each change, on the process's thread.
 class configuration_listener {
 public:
     virtual ~configuration_listener() = default;
@@ -21,9 +21,9 @@
 };
 
 // A few readers of each zone, chosen by rendezvous hashing among the listed entry VMs,
-// watch the configuration service. All others get the news from processes: who has a new
-// revision announces it, who hears of one fetches it, and a slow exchange with random
-// processes repairs what was missed.
+// watch the configuration service. All others are updated by gossip: a process that has a new
+// revision announces it, a process that receives an announcement fetches the revision, and a
+// periodic exchange with random processes makes up for announcements that were missed.
 class configuration_node {
 public:
     configuration_node(process_context&, const process_settings&, platform_source&, peer_client&, crash_history&, configuration_listener&);
@@ -32,18 +32,20 @@
     void start(std::string peerAddress);
 
     awaitable<wire::ExchangeReply> onExchange(wire::ExchangeRequest);
-    // Of the entry VMs listed as live this one is picked for `key`; all that have the same list agree.
+    // True if rendezvous hashing of `key` picks this process among the entry VMs listed as live.
+    // Processes with the same list agree on the pick.
     bool isResponsibleEntry(std::string_view key) const;
-    // Tells a few random processes what is new in the history of crashes; they tell others.
+    // Sends updates of the crash history to all entry VMs if they are few, and to random processes,
+    // which pass them on.
     void tellCrashes();
-    // Learns what the agent of a backend server knows of a request that was lost there.
+    // Asks the agent of a backend server for its crash records of a request that was lost there.
     awaitable<void> askAbout(request_fingerprint, std::string backend);
-    // Returns when the entry VMs in reach have what `tellCrashes` told them directly, or after a
-    // moment.
+    // Returns when all reachable entry VMs have acknowledged what `tellCrashes` sent them directly,
+    // or after a timeout.
     awaitable<void> awaitCrashesTold();
-    // Fills in what this process says of itself.
+    // Fills in the sender fields of a message with the state of this process.
     template <class Message>
-    void stamp(Message& message) const
+    void fillSender(Message& message) const
     {
         auto* sender = message.mutable_sender();
         sender->set_name(m_context.name());
@@ -57,9 +59,9 @@
     const revision_chain& chain() const { return m_chain; }
     const vm_list& vms() const { return m_vms; }
     bool isReader() const;
-    // True once a declaration is in force and a peer, or a grace time, has confirmed it.
+    // True once a declaration is in force and a peer that has one has answered or the grace period is over.
     bool ready() const;
-    // Where the revision in force came from: "service", a peer's name or "".
+    // Where the revision in force came from: "service", a peer's name, or "" if none was received.
     const std::string& source() const { return m_source; }
     instant inForceSince() const { return m_inForceSince; }
 
@@ -73,26 +75,26 @@
     awaitable<void> pullFrom(std::string address, std::string name);
     void announce();
     void announce(const wire::ExchangeRequest&);
-    awaitable<void> announceLater();
-    duration ownLookPause();
+    awaitable<void> repeatAnnouncement();
+    duration ownReadInterval();
     wire::ExchangeRequest makeRequest() const;
-    void takeOutcome(const offer_outcome&, const std::string& from);
-    void report(const offer_outcome&, const std::string& from);
-    void takeVms(vm_list);
-    struct peer_place {
+    void applyAndAnnounce(const offer_outcome&, const std::string& from);
+    void applyOutcome(const offer_outcome&, const std::string& from);
+    void applyVmList(vm_list);
+    struct peer_endpoint {
         std::string name;
         std::string zone;
         std::string address;
-        // Empty for a seed, of which only the address is known.
+        // Empty for a seed peer, of which only the address is known.
         std::optional<vm_role> role;
     };
-    awaitable<void> announceTo(peer_place, wire::ExchangeRequest);
-    // Tells an entry VM of crashes; counts while it has not acknowledged them.
-    awaitable<void> tellEntry(peer_place, wire::ExchangeRequest);
-    std::vector<peer_place> peers() const;
+    awaitable<void> announceTo(peer_endpoint, wire::ExchangeRequest);
+    // Sends crash records to an entry VM. Counts as pending until it has acknowledged them.
+    awaitable<void> announceToEntry(peer_endpoint, wire::ExchangeRequest);
+    std::vector<peer_endpoint> peers() const;
     std::vector<std::string> ownReaderOrder() const;
-    bool mayLook(instant& nextOwnLook);
-    std::optional<peer_place> randomPeer();
+    bool mayReadService(instant& nextOwnRead);
+    std::optional<peer_endpoint> randomPeer();
     duration jittered(duration);
 
     process_context& m_context;
@@ -107,11 +109,11 @@
     std::string m_source;
     instant m_inForceSince;
     instant m_lastPeer;
-    // Names of processes whose last exchange with us failed.
+    // Names of processes whose last exchange with this process failed.
     std::set<std::string> m_unreachable;
-    // Entry VMs that are being told of crashes.
-    int m_entriesBeingTold = 0;
-    bool m_peerSeen = false;
+    // Direct crash announcements that entry VMs have not acknowledged yet.
+    int m_pendingEntryAnnouncements = 0;
+    bool m_peerConfirmed = false;
     bool m_pulling = false;
 };
 
--- a/Source/discovery/json_reading.h
+++ b/Source/discovery/json_reading.h
@@ -1,4 +1,4 @@
-// Members of JSON objects, with a default where one is absent or of another kind.
+// Read members of JSON objects; a default is returned if a member is absent or has another type.
 #pragma once
 
 #include <boost/json.hpp>
--- a/Source/discovery/platform_source.cpp
+++ b/Source/discovery/platform_source.cpp
@@ -35,9 +35,9 @@
             return documents("/v1/declarations?after=" + std::to_string(revision) + "&wait_ms=" + std::to_string(wait.count()), wait + readTimeout);
         }
 
-        awaitable<result<vm_list>> watchVms(store_position held, milliseconds wait) override
+        awaitable<result<vm_list>> watchVms(store_position known, milliseconds wait) override
         {
-            const auto body = co_await get("/v1/vms?epoch=" + std::to_string(held.epoch) + "&after=" + std::to_string(held.revision) + "&wait_ms=" + std::to_string(wait.count()), wait + readTimeout);
+            const auto body = co_await get("/v1/vms?epoch=" + std::to_string(known.epoch) + "&after=" + std::to_string(known.revision) + "&wait_ms=" + std::to_string(wait.count()), wait + readTimeout);
             if (!body)
                 co_return body.error();
             auto list = parseVmList(body.value());
@@ -68,14 +68,14 @@
             const json::value parsed = json::parse(body.value(), error);
             const json::value* list = error ? nullptr : parsed.as_object().if_contains("documents");
             if (!list || !list->is_array())
-                co_return malformed("no documents in the answer");
+                co_return malformed("the answer contains no array \"documents\"");
             std::vector<published_document> published;
             for (const json::value& item : list->get_array()) {
                 const json::object* const document = item.if_object();
                 const json::value* const number = document ? document->if_contains("number") : nullptr;
                 const json::value* const text = document ? document->if_contains("text") : nullptr;
                 if (!number || !number->is_number() || !text || !text->is_string())
-                    co_return malformed("a document without number or text");
+                    co_return malformed("a document has no number or no text");
                 published.push_back({ number->to_number<std::uint64_t>(error), std::string(text->get_string()) });
             }
             co_return published;
--- a/Source/discovery/platform_source.h
+++ b/Source/discovery/platform_source.h
@@ -1,4 +1,4 @@
-// What the platform publishes, behind an interface: it can be read and watched only.
+// Read-only access to what the platform publishes: declarations and the VM list.
 #pragma once
 
 #include "daemon/http_message.h"
@@ -18,12 +18,12 @@
 public:
     virtual ~platform_source() = default;
 
-    // The latest declarations, oldest first, at most `count`.
+    // At most `count` of the latest declarations, oldest first.
     virtual awaitable<result<std::vector<published_document>>> latestDeclarations(int count) = 0;
-    // Declarations after `revision`; waits up to `wait` for the first. Empty after that.
+    // Declarations after `revision`. Waits up to `wait` for the first one; empty if none comes.
     virtual awaitable<result<std::vector<published_document>>> watchDeclarations(std::uint64_t revision, milliseconds wait) = 0;
-    // The VM list once it is newer than the held one; waits up to `wait`.
-    virtual awaitable<result<vm_list>> watchVms(store_position held, milliseconds wait) = 0;
+    // The VM list; waits up to `wait` for one that is newer than `known`.
+    virtual awaitable<result<vm_list>> watchVms(store_position known, milliseconds wait) = 0;
 
     // The configuration service over HTTP; each call counts as one read there.
     static std::unique_ptr<platform_source> makeHttp(process_context&, http_client&, std::string address);
--- a/Source/discovery/rank_engine.cpp
+++ b/Source/discovery/rank_engine.cpp
@@ -42,7 +42,7 @@
         awaitable<result<rank_report>> report() override
         {
             http_request request { http::verb::get, "/rank/report", 11 };
-            return ask(std::move(request));
+            return send(std::move(request));
         }
 
         awaitable<result<rank_report>> carryOut(engine_order order, std::vector<std::uint32_t> placement, std::uint64_t fence) override
@@ -57,17 +57,17 @@
             };
             http_request request { http::verb::post, "/rank/order", 11 };
             request.body() = json::serialize(body);
-            return ask(std::move(request));
+            return send(std::move(request));
         }
 
     private:
-        awaitable<result<rank_report>> ask(http_request request)
+        awaitable<result<rank_report>> send(http_request request)
         {
             auto response = co_await m_client.fetch(m_address, std::move(request), engineTimeout);
             if (!response)
                 co_return response.error();
             if (response.value().result() != http::status::ok)
-                co_return mayHaveRun(failure_reason::backend_error, "the engine refused: " + response.value().body());
+                co_return mayHaveRun(failure_reason::backend_error, "the engine refused the request: " + response.value().body());
             co_return parseReport(response.value().body());
         }
 
--- a/Source/discovery/rank_engine.h
+++ b/Source/discovery/rank_engine.h
@@ -1,4 +1,4 @@
-// What rampgap asks of the engine of one rank; engines differ in what they can.
+// Interface to the engine of one rank; engines differ in their capabilities.
 #pragma once
 
 #include "daemon/http_message.h"
@@ -11,21 +11,21 @@
 
 class http_client;
 
-// What an engine can do; a switch needs a gate, the rest the agent makes up for.
+// Capabilities of an engine. A map switch requires `gatesAtStep`; the agent makes up for a missing `checksFencing`.
 struct engine_abilities {
-    // Waits before a staged step until it is told to commit or abort.
+    // The engine waits before a staged step until it is ordered to commit or abort.
     bool gatesAtStep = false;
-    // Refuses orders with an old fencing number itself.
+    // The engine itself refuses orders with an outdated fencing number.
     bool checksFencing = false;
 
     bool operator==(const engine_abilities&) const = default;
 };
 
-// The report of a rank: its state, and what it counted since the last report.
+// The report of a rank: its state, and its counts since the last report.
 struct rank_report {
     rank_state state;
     engine_abilities abilities;
-    // Tokens per expert of the group, and time per unit of work of this rank.
+    // Tokens per expert of the group; `timePerWork` is this rank's time per unit of work.
     std::vector<double> expertCounts;
     double timePerWork = 1;
 
@@ -37,7 +37,7 @@
     virtual ~rank_engine() = default;
 
     virtual awaitable<result<rank_report>> report() = 0;
-    // Carries out one order; the engine's report afterwards confirms it.
+    // Sends one order to the engine; the report that it returns afterwards confirms the order.
     virtual awaitable<result<rank_report>> carryOut(engine_order, std::vector<std::uint32_t> placement, std::uint64_t fence) = 0;
 
     static std::unique_ptr<rank_engine> makeHttp(http_client&, std::string address);
--- a/Source/discovery/vm_list.h
+++ b/Source/discovery/vm_list.h
@@ -1,4 +1,4 @@
-// The platform's list of VMs: lags behind reality, so it is a hint.
+// The platform's list of VMs. It may be out of date and is only a hint.
 #pragma once
 
 #include "policy/store_position.h"
@@ -29,7 +29,7 @@
 struct vm_list {
     std::uint64_t version = 0;
     std::vector<vm_record> vms;
-    // Of the service that publishes it; 0 where it does not tell.
+    // Epoch of the service that publishes the list; 0 if the service reports none.
     store_epoch epoch = 0;
 
     store_position position() const { return { epoch, version }; }
@@ -37,7 +37,7 @@
     bool operator==(const vm_list&) const = default;
 };
 
-// The JSON form that the platform publishes.
+// The JSON format in which the platform publishes the list.
 boost::outcome_v2::checked<vm_list, std::string> parseVmList(const std::string& json);
 std::string toJson(const vm_list&);
 
--- a/Source/wire/crash_codec.cpp
+++ b/Source/wire/crash_codec.cpp
@@ -20,16 +20,16 @@
 
 bool mergeCrashes(const crash_messages& messages, crash_history& history, instant now)
 {
-    bool news = false;
-    for (const auto& told : messages) {
-        crash_record record { { told.request() }, {}, told.served() };
-        for (const auto server : told.early_servers())
+    bool changed = false;
+    for (const auto& message : messages) {
+        crash_record record { { message.request() }, {}, message.served() };
+        for (const auto server : message.early_servers())
             record.crashes.push_back({ server, true });
-        for (const auto server : told.late_servers())
+        for (const auto server : message.late_servers())
             record.crashes.push_back({ server, false });
-        news = history.merge(record, milliseconds(told.age_ms()), now) || news;
+        changed = history.merge(record, milliseconds(message.age_ms()), now) || changed;
     }
-    return news;
+    return changed;
 }
 
 } // namespace rampgap
--- a/Source/wire/crash_codec.h
+++ b/Source/wire/crash_codec.h
@@ -1,4 +1,4 @@
-// Records of crashed servers, to and from messages.
+// Converts crash records to and from messages.
 #pragma once
 
 #include "crash.pb.h"
@@ -9,7 +9,7 @@
 using crash_messages = google::protobuf::RepeatedPtrField<wire::crash_record>;
 
 void addCrashes(crash_messages&, const aged_crash_records&);
-// True if any was news to the history.
+// Merges the records into the history. Returns true if any of them changed it.
 bool mergeCrashes(const crash_messages&, crash_history&, instant now);
 
 } // namespace rampgap
