--- a/Source/daemon/answer_relay.cpp
+++ b/Source/daemon/answer_relay.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    // Answers of known length up to this go out in one write.
+    // Answers of a stated length up to this are buffered and sent in one write.
     constexpr std::int64_t wholeAnswerBytes = 65'536;
-    // Largest plain answer that is buffered when its end cannot be known before.
+    // Largest answer without a stated length that is buffered (bufferUnframed).
     constexpr std::size_t bufferedAnswerBytes = 4'194'304;
     constexpr std::string_view eventEnd = "\n\n";
 
@@ -20,10 +20,10 @@
         head.erase(http::field::keep_alive);
     }
 
-    // Holds back the start of an event until its end has come.
+    // Holds back the beginning of an event until the whole event has arrived.
     class event_splitter {
     public:
-        // The whole events that `piece` completes.
+        // Returns all events that are complete now that `piece` has arrived.
         std::string push(std::string_view piece)
         {
             m_partial.append(piece);
@@ -35,7 +35,7 @@
             return whole;
         }
 
-        std::string rest() { return std::exchange(m_partial, {}); }
+        std::string takeRest() { return std::exchange(m_partial, {}); }
         bool inEvent() const { return !m_partial.empty(); }
 
     private:
@@ -66,7 +66,7 @@
         return {};
     }
 
-    // Keeps the copy of an answer while it is within its limit.
+    // Copies an answer as long as it does not exceed the limit.
     class answer_copy {
     public:
         explicit answer_copy(std::size_t limit)
@@ -90,16 +90,16 @@
         std::string m_text;
     };
 
-    relay_outcome endedEarly(bool callerGone, std::optional<failure> failed)
+    relay_outcome incompleteOutcome(bool callerGone, std::optional<failure> failed)
     {
-        return { callerGone ? relay_end::caller_gone : relay_end::cut, std::move(failed), std::nullopt };
+        return { callerGone ? relay_end::caller_gone : relay_end::truncated, std::move(failed), std::nullopt };
     }
 
     awaitable<relay_outcome> relayWhole(http_call& call, http_head head, http_exchange& exchange, relay_progress& progress, relay_options options)
     {
         auto body = co_await call.readAll(options.bufferUnframed ? bufferedAnswerBytes : wholeAnswerBytes);
         if (!body)
-            co_return endedEarly(exchange.callerGone(), body.error());
+            co_return incompleteOutcome(exchange.callerGone(), body.error());
         relay_outcome outcome;
         if (options.recordLimit >= body.value().size())
             outcome.recorded = body.value();
@@ -117,7 +117,7 @@
 
 } // namespace
 
-void relay_progress::noteBytes(instant now)
+void relay_progress::recordBytes(instant now)
 {
     if (firstBytesAt)
         longestPause = std::max(longestPause, std::chrono::duration_cast<milliseconds>(now - newestBytesAt));
@@ -143,35 +143,35 @@
     if ((small || buffered) && !progress.begun)
         co_return co_await relayWhole(call, std::move(head), exchange, progress, options);
 
-    bool callerThere = true;
+    bool callerConnected = true;
     if (!progress.begun) {
         progress.begun = true;
-        callerThere = co_await exchange.begin(std::move(head));
+        callerConnected = co_await exchange.begin(std::move(head));
     }
     event_splitter splitter;
     answer_copy copy(options.recordLimit);
     for (;;) {
-        if (!callerThere && !options.finishWithoutCaller)
-            co_return endedEarly(true, std::nullopt);
+        if (!callerConnected && !options.finishWithoutCaller)
+            co_return incompleteOutcome(true, std::nullopt);
         if (options.silenceLimit > milliseconds(0))
             call.expireAt(std::min(options.deadline, boot_clock::now() + options.silenceLimit));
         const auto piece = co_await call.read();
         if (!piece)
-            co_return endedEarly(exchange.callerGone() && !options.finishWithoutCaller, piece.error());
+            co_return incompleteOutcome(exchange.callerGone() && !options.finishWithoutCaller, piece.error());
         const bool last = piece.value().empty();
         if (!last)
-            progress.noteBytes(boot_clock::now());
+            progress.recordBytes(boot_clock::now());
         if (const auto action = std::exchange(options.onFirstBytes, nullptr))
             action();
         if (last && events && splitter.inEvent() && !call.framed())
-            co_return endedEarly(false, mayHaveRun(failure_reason::connection_lost, "the stream ended inside an event"));
+            co_return incompleteOutcome(false, mayHaveRun(failure_reason::connection_lost, "the stream ended inside an event"));
         copy.append(piece.value());
         std::string whole;
         if (events)
-            whole = last ? splitter.rest() : splitter.push(piece.value());
+            whole = last ? splitter.takeRest() : splitter.push(piece.value());
         const std::string_view out = events ? std::string_view(whole) : piece.value();
-        if (callerThere && !out.empty()) {
-            callerThere = co_await exchange.write(out);
+        if (callerConnected && !out.empty()) {
+            callerConnected = co_await exchange.write(out);
             progress.events += events ? countEvents(out) : 0;
             if (auto id = lastIdIn(out); events && !id.empty())
                 progress.lastEventId = std::move(id);
@@ -179,10 +179,10 @@
         }
         if (!last)
             continue;
-        if (callerThere)
-            callerThere = co_await exchange.finish();
+        if (callerConnected)
+            callerConnected = co_await exchange.finish();
         relay_outcome outcome;
-        outcome.end = callerThere ? relay_end::whole : relay_end::caller_gone;
+        outcome.end = callerConnected ? relay_end::complete : relay_end::caller_gone;
         outcome.recorded = copy.take();
         co_return outcome;
     }
--- a/Source/daemon/answer_relay.h
+++ b/Source/daemon/answer_relay.h
@@ -1,4 +1,4 @@
-// Passes an upstream's answer on to a caller, piece by piece.
+// Relays the answer of an upstream server to a caller, piece by piece.
 #pragma once
 
 #include "daemon/http_client.h"
@@ -10,53 +10,54 @@
 
 namespace rampgap {
 
-// What has been passed on so far; kept over a resumed stream.
+// What has been relayed so far; the same object continues when a stream is resumed.
 struct relay_progress {
     bool begun = false;
-    // Whole server-sent events that the caller has.
+    // Complete server-sent events sent to the caller.
     std::uint64_t events = 0;
-    // Id of the last of them that had one.
+    // Id of the last sent event that had one.
     std::string lastEventId;
     std::uint64_t bytes = 0;
-    // When the first and the newest bytes of the body came, and the longest pause between two.
+    // When the first and the latest bytes of the body arrived, and the longest pause between two reads.
     std::optional<instant> firstBytesAt;
     instant newestBytesAt {};
     milliseconds longestPause { 0 };
 
-    void noteBytes(instant now);
+    void recordBytes(instant now);
 };
 
 struct relay_options {
-    // Pass on only whole server-sent events, so that a cut falls between two.
+    // Relay only complete server-sent events, so that a stream that breaks off ends between two of them.
     bool wholeEvents = false;
-    // Read to the end even if the caller is gone: the request must not be cut off.
+    // Read the answer to its end even if the caller has disconnected, so that the request is not aborted.
     bool finishWithoutCaller = false;
-    // Keep a copy of the answer up to this size.
+    // Keep a copy of an answer of up to this many bytes; 0 keeps none.
     std::size_t recordLimit = 0;
-    // Longest silence of the upstream in a stream; 0: only the call's deadline counts.
+    // Longest time between two reads from the upstream; 0: only the call's deadline applies.
     milliseconds silenceLimit { 0 };
-    // When the caller's deadline ends the relay; used with `silenceLimit`.
+    // The caller's deadline, which limits each wait that `silenceLimit` sets.
     instant deadline {};
-    // Called when the first bytes of the body have come.
+    // Called once, after the first read of the body.
     std::function<void()> onFirstBytes;
-    // Buffer plain answers without a stated length too, so that a cut one is never begun.
+    // Also buffer answers without a stated length that are no event streams, so that none is begun
+    // that breaks off before its end.
     bool bufferUnframed = false;
 };
 
-enum class relay_end { whole,
+enum class relay_end { complete,
     caller_gone,
-    cut };
+    truncated };
 
 struct relay_outcome {
-    relay_end end = relay_end::whole;
-    // Set when the answer was cut off.
+    relay_end end = relay_end::complete;
+    // Set if the answer was truncated by the upstream.
     std::optional<failure> failed;
-    // The copy, if asked for and within the limit.
+    // The copy, if one was requested and the answer was within the limit.
     std::optional<std::string> recorded;
 };
 
-// Relays head and body. A cut answer is left unfinished: the caller of this function
-// decides how it ends.
+// Relays head and body. A truncated answer is left unfinished: the calling function decides
+// how to end it.
 awaitable<relay_outcome> relayAnswer(http_call&, http_head, http_exchange&, relay_progress&, relay_options);
 
 bool isEventStream(const http_head&);
--- a/Source/daemon/decision_log.cpp
+++ b/Source/daemon/decision_log.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-    // A node of the planned size serves about 26 requests a second, with up to four lines each.
+    // A VM of the planned size serves about 26 requests per second and logs up to four lines for each.
     constexpr int requestLinesPerSecond = 150;
-    // What a reader that stands still may cost in memory.
-    constexpr std::size_t longestBuffer = 262'144;
-    // A pipe that is writable takes this much without blocking (POSIX PIPE_BUF on Linux).
+    // Bounds the memory in use when the reader of the pipe does not read.
+    constexpr std::size_t maxBufferBytes = 262'144;
+    // A writable pipe accepts this many bytes without blocking (POSIX PIPE_BUF on Linux).
     constexpr std::size_t atomicPipeWrite = 4'096;
 
     std::int64_t wallMilliseconds()
@@ -50,7 +50,7 @@
 log_line::~log_line()
 {
     if (m_admitted)
-        m_log.take(std::move(m_text));
+        m_log.append(std::move(m_text));
 }
 
 log_line& log_line::add(std::string_view key, std::string_view value)
@@ -102,9 +102,9 @@
     return false;
 }
 
-void decision_log::take(std::string text)
+void decision_log::append(std::string text)
 {
-    if (m_buffer.size() + text.size() > longestBuffer) {
+    if (m_buffer.size() + text.size() > maxBufferBytes) {
         ++m_dropped;
         ++m_droppedTotal;
         return;
@@ -116,7 +116,7 @@
 
 void decision_log::flush()
 {
-    if (m_dropped > 0 && m_buffer.size() < longestBuffer)
+    if (m_dropped > 0 && m_buffer.size() < maxBufferBytes)
         line("log_lines_dropped").add("count", std::exchange(m_dropped, 0));
     std::size_t written = 0;
     while (written < m_buffer.size()) {
--- a/Source/daemon/decision_log.h
+++ b/Source/daemon/decision_log.h
@@ -1,4 +1,4 @@
-// Structured lines on standard output: one for each decision, bounded, never blocking.
+// Structured log lines, one per decision: bounded in rate and memory, written without blocking.
 #pragma once
 
 #include "policy/verdict.h"
@@ -12,7 +12,7 @@
 
 class decision_log;
 
-// One line as "event=... key=value ..."; handed over when it goes out of scope.
+// Builds one line "event=... key=value ..."; the destructor appends it to the log.
 class log_line {
 public:
     log_line(decision_log&, std::string_view event, bool admitted);
@@ -38,15 +38,15 @@
     std::string m_text;
 };
 
-// Keeps lines in a buffer that `flush` writes as far as the pipe takes it at once. Lines
-// over the budget of a second or over the buffer are dropped and counted.
+// Buffers lines; `flush` writes as much as the pipe accepts without blocking. Lines that exceed
+// the budget per second or the buffer are dropped and counted.
 class decision_log {
 public:
     decision_log(std::string process, int descriptor);
 
-    // A line about a change of belief or state: outside the budget for requests.
+    // A line about a change of state: not limited by the budget of request lines.
     log_line line(std::string_view event);
-    // A line about one request, within the budget.
+    // A line about one request: dropped if the budget of this second is used up.
     log_line requestLine(std::string_view event);
     void flush();
     std::uint64_t dropped() const { return m_droppedTotal; }
@@ -54,7 +54,7 @@
 private:
     friend class log_line;
 
-    void take(std::string text);
+    void append(std::string text);
     bool admitRequestLine();
 
     std::string m_process;
--- a/Source/daemon/log.h
+++ b/Source/daemon/log.h
@@ -6,10 +6,10 @@
 
 namespace rampgap {
 
-// Call once before the first line. Lines name the process.
+// To be called once, before the first line is logged. Each line contains the process's name.
 void initLogging(const std::string& process);
 
-// One change of state, as "event=... key=value ..." text.
+// Logs an event with its details, as "event=... key=value ...". logProblem logs at warning level.
 void logState(std::string_view event, std::string_view detail);
 void logProblem(std::string_view event, std::string_view detail);
 
--- a/Source/daemon/metrics.cpp
+++ b/Source/daemon/metrics.cpp
@@ -56,7 +56,7 @@
         { "rampgap_group_look_seconds", "Time from a leader's call to all ranks of its group to the last answer" },
     } };
 
-    // Seconds; around the targets of the users' routes (0.3 and 0.5) and their timeouts (1.5, 4 and 8).
+    // In seconds. They include the targets of the users' routes (0.3 and 0.5) and their timeouts (1.5, 4 and 8).
     const prometheus::Histogram::BucketBoundaries latencyBounds { 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 4, 8 };
 
 } // namespace
@@ -80,7 +80,7 @@
 
 metrics::~metrics() = default;
 
-// Made at the first observation: programs without requests do not show it.
+// A histogram is created at its first observation, so programs without requests do not export it.
 void metrics::observe(latency id, duration elapsed)
 {
     const auto index = static_cast<std::size_t>(id);
--- a/Source/daemon/metrics.h
+++ b/Source/daemon/metrics.h
@@ -1,4 +1,4 @@
-// Counters and gauges of one process, in the Prometheus text form.
+// Counters, gauges and histograms of one process, exported in the Prometheus text format.
 #pragma once
 
 #include "policy/verdict.h"
@@ -17,7 +17,7 @@
 
 namespace rampgap {
 
-// Each metric; its name and help stand in one table in the source.
+// Counters and gauges. Exported names and help texts are in one table in the source.
 enum class metric {
     requests_received,
     requests_answered,
@@ -61,14 +61,14 @@
 
 const std::array<metric_row, metricCount>& metricTable();
 
-// Each latency histogram; its name and help stand in one table in the source.
+// Latency histograms. Exported names and help texts are in one table in the source.
 enum class latency {
     // From a request's arrival to its final answer.
     request,
     // From a request's arrival to the first byte of a server's answer.
     first_byte,
     // From a leader's call to all ranks of its group to the last answer.
-    look,
+    group_poll,
 };
 
 inline constexpr std::size_t latencyCount = 3;
--- a/Source/daemon/process_context.cpp
+++ b/Source/daemon/process_context.cpp
@@ -22,10 +22,10 @@
     , m_timeline(m_name, m_zone, timelineCapacity)
     , m_random(std::random_device {}())
 {
-    note(event_kind::started, "", "");
+    recordEvent(event_kind::started, "", "");
 }
 
-void process_context::note(event_kind kind, std::string correlation, std::string detail)
+void process_context::recordEvent(event_kind kind, std::string correlation, std::string detail)
 {
     const auto steady = std::chrono::duration_cast<std::chrono::nanoseconds>(now().time_since_epoch()).count();
     m_timeline.add(kind, std::move(correlation), std::move(detail), wallNow(), steady);
--- a/Source/daemon/process_context.h
+++ b/Source/daemon/process_context.h
@@ -1,4 +1,4 @@
-// What every part of a process shares: its identity, clocks, metrics and time line.
+// State shared by all parts of a process: identity, clocks, metrics and timeline.
 #pragma once
 
 #include "daemon/metrics.h"
@@ -20,7 +20,7 @@
     const std::string& name() const { return m_name; }
     const std::string& zone() const { return m_zone; }
     const std::string& role() const { return m_role; }
-    // Rises with each start of the process: its start time in wall nanoseconds.
+    // Increases with each start of the process: its start time, in nanoseconds of the wall clock.
     std::uint64_t incarnation() const { return m_incarnation; }
     instant now() const { return boot_clock::now(); }
     instant startedAt() const { return m_startedAt; }
@@ -29,9 +29,9 @@
     event_ring& timeline() { return m_timeline; }
     std::mt19937_64& random() { return m_random; }
 
-    void note(event_kind, std::string correlation, std::string detail);
+    void recordEvent(event_kind, std::string correlation, std::string detail);
 
-    // Fault switch for tests: addresses that nothing is sent to.
+    // Fault injection for tests: calls to these addresses fail, as if the network were cut.
     void cut(std::set<std::string> addresses) { m_cut = std::move(addresses); }
     bool isCut(const std::string& address) const { return m_cut.contains(address); }
 
