--- a/Source/daemon/admission_place.h
+++ b/Source/daemon/admission_place.h
@@ -1,4 +1,4 @@
-// A place that the admission gate has given; given back when it goes out of scope.
+// A request slot acquired from the admission gate; released when it goes out of scope.
 #pragma once
 
 #include "daemon/admission_gate.h"
@@ -9,7 +9,7 @@
 
 class admission_place {
 public:
-    // No place is needed.
+    // An empty object, for a request that needs no slot.
     admission_place() = default;
     admission_place(admission_gate& gate, admission_id id)
         : m_gate(&gate)
--- a/Source/daemon/daemon_main.cpp
+++ b/Source/daemon/daemon_main.cpp
@@ -38,8 +38,8 @@
         { "version", no_argument, nullptr, 'V' },
         { nullptr, 0, nullptr, 0 },
     };
-    for (int given = 0; (given = getopt_long(argc, argv, "s:S:chV", longOptions, nullptr)) != -1;) {
-        switch (given) {
+    for (int flag = 0; (flag = getopt_long(argc, argv, "s:S:chV", longOptions, nullptr)) != -1;) {
+        switch (flag) {
         case 's':
             flags.settingsFile = optarg;
             break;
@@ -96,7 +96,8 @@
     context.io().run();
     std::cout.flush();
     std::fflush(nullptr);
-    // gRPC's threads may still hold calls; nothing lasts, so nothing needs unwinding.
+    // gRPC's threads may still be in calls. The process keeps no state on disk, so it exits without
+    // running destructors.
     std::_Exit(exit_ok);
 }
 
--- a/Source/daemon/daemon_main.h
+++ b/Source/daemon/daemon_main.h
@@ -1,4 +1,4 @@
-// What the daemons' main functions share: flags, settings file, signals, the ready line.
+// Shared by the daemons' main functions: flags, settings file, signals, the ready line.
 #pragma once
 
 #include "daemon/log.h"
@@ -18,35 +18,35 @@
     exit_failed = 1,
     exit_usage = 2 };
 
-// Flags of a daemon.
+// Command-line flags of a daemon.
 struct daemon_flags {
     std::string settingsFile;
     std::vector<setting_override> overrides;
     bool checkOnly = false;
 };
 
-// Parses the flags; handles --help, --version and --reference itself. Returns an exit
-// code if the program is to end at once.
+// Parses the flags and carries out --help, --version and --reference. Returns an exit code if
+// the program must exit at once.
 std::optional<int> parseDaemonFlags(int argc, char** argv, const char* program, const char* purpose, daemon_flags&);
 
-// Reads the settings text with the overrides applied.
+// Reads the settings file, if one is given, and applies the overrides to its text.
 settings_result<std::string> readSettingsText(const daemon_flags&);
 
-// What a daemon is called and what it is for.
+// Name, purpose and role of a daemon.
 struct daemon_identity {
     const char* program;
     const char* purpose;
     const char* role;
 };
 
-// The main function of a daemon: `Server::start` begins its work, `leave` ends it.
+// The main function of a daemon: `Server::start` starts the server, `leave` begins its planned stop.
 template <class Server, class Settings>
 int runDaemon(int argc, char** argv, const daemon_identity&, settings_result<Settings> (*parse)(const std::string& text, const std::string& file));
 
-// Prints the line that tells a starter the ports: "ready http=PORT peer=PORT".
+// Prints "ready http=PORT peer=PORT", from which the parent process reads the ports.
 void printReady(int httpPort, int peerPort);
 
-// Runs the process until its io context ends, then leaves without unwinding gRPC.
+// Runs the process until its io context has no more work, then exits without destroying gRPC objects.
 [[noreturn]] void runToEnd(process_context&);
 
 template <class Server, class Settings>
--- a/Source/daemon/graceful_stop.h
+++ b/Source/daemon/graceful_stop.h
@@ -7,8 +7,8 @@
 
 namespace rampgap {
 
-// Ends the server's connections after their answers; returns once none is open and `inFlight`
-// has come down to 0.
+// Closes each connection of the server after its answer. Returns once none is open and `inFlight`
+// returns 0.
 awaitable<void> drainToEnd(process_context&, http_server&, std::function<int()> inFlight);
 
 } // namespace rampgap
--- a/Source/daemon/header_names.h
+++ b/Source/daemon/header_names.h
@@ -5,7 +5,7 @@
 
 namespace rampgap::header {
 
-// From and to callers.
+// Sent by callers or to them.
 inline constexpr std::string_view idempotencyKey = "Idempotency-Key";
 inline constexpr std::string_view notRepeatable = "Rampgap-Not-Repeatable";
 inline constexpr std::string_view timeoutMs = "Rampgap-Timeout-Ms";
@@ -19,7 +19,7 @@
 inline constexpr std::string_view backend = "Rampgap-Backend";
 inline constexpr std::string_view retryAfter = "Retry-After";
 
-// Between an entry VM and an agent; dropped from what callers send.
+// Between an entry VM and an agent; removed from callers' requests.
 inline constexpr std::string_view workspace = "Rampgap-Workspace";
 inline constexpr std::string_view service = "Rampgap-Service";
 inline constexpr std::string_view fingerprint = "Rampgap-Fingerprint";
@@ -29,9 +29,9 @@
 inline constexpr std::string_view entry = "Rampgap-Entry";
 inline constexpr std::string_view retryAfterMs = "Rampgap-Retry-After-Ms";
 
-// From an engine to its agent, in any answer: requests a second that it takes, a decimal number.
+// From an engine to its agent, in any answer: requests per second that it accepts, a decimal number.
 inline constexpr std::string_view limitPerSecond = "Rampgap-Limit-Per-Second";
-// "1" in any answer of an engine that takes no new requests any more.
+// "1" in any answer of an engine that no longer accepts new requests.
 inline constexpr std::string_view leaving = "Rampgap-Leaving";
 
 } // namespace rampgap::header
--- a/Source/daemon/operator_pages.cpp
+++ b/Source/daemon/operator_pages.cpp
@@ -70,7 +70,7 @@
         return declarationPage();
     if (path == "/operator/cut" && m_settings.faultSwitches && request.method() == http::verb::post)
         return cutPeers(request);
-    return makeFailure(notRun(failure_reason::not_found, "no such operators' page: " + path));
+    return makeFailure(notRun(failure_reason::not_found, "unknown operator page: " + path));
 }
 
 bool operator_pages::authorised(const http_request& request) const
--- a/Source/daemon/operator_pages.h
+++ b/Source/daemon/operator_pages.h
@@ -1,4 +1,4 @@
-// What every process answers over HTTP about itself: health, metrics, status, time line.
+// The HTTP pages that every process has: health, metrics, status, timeline.
 #pragma once
 
 #include "daemon/http_server.h"
@@ -12,7 +12,7 @@
 public:
     operator_pages(process_context&, const process_settings&, const configuration_node&);
 
-    // The answer if the path is one of ours; empty if it is not.
+    // Returns the answer if the path is one of these pages, otherwise nothing.
     std::optional<http_response> answer(const http_request&);
     void setLeaving() { m_leaving = true; }
 
--- a/Source/daemon/peer_link.cpp
+++ b/Source/daemon/peer_link.cpp
@@ -27,7 +27,7 @@
         grpc::ChannelArguments arguments;
         arguments.SetMaxReceiveMessageSize(maxMessageBytes);
         arguments.SetCompressionAlgorithm(GRPC_COMPRESS_GZIP);
-        // Loopback and data-centre addresses are dialled as they are, never by a proxy.
+        // Peers are on loopback or data-centre addresses: always connect directly, never through a proxy.
         arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
         arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
         arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
@@ -85,7 +85,7 @@
         peer_handler& m_handler;
     };
 
-    // State of one outgoing call; it lives until gRPC has called back.
+    // State of one outgoing call; kept alive until gRPC has called back.
     template <class Request, class Reply>
     struct pending_call {
         grpc::ClientContext context;
@@ -121,8 +121,8 @@
     int port = 0;
 };
 
-peer_server::peer_server(std::unique_ptr<implementation> made)
-    : m_implementation(std::move(made))
+peer_server::peer_server(std::unique_ptr<implementation> created)
+    : m_implementation(std::move(created))
 {
 }
 
@@ -133,19 +133,19 @@
 
 result<std::unique_ptr<peer_server>> peer_server::listen(process_context& context, const std::string& address, peer_handler& handler)
 {
-    auto made = std::make_unique<implementation>(context.io(), handler);
+    auto created = std::make_unique<implementation>(context.io(), handler);
     grpc::ServerBuilder builder;
     grpc::ResourceQuota quota("rampgap");
     quota.SetMaxThreads(maxGrpcThreads);
     builder.SetResourceQuota(quota);
     builder.SetMaxReceiveMessageSize(maxMessageBytes);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &made->port);
-    builder.RegisterService(&made->service);
-    made->server = builder.BuildAndStart();
-    if (!made->server || made->port == 0)
+    builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &created->port);
+    builder.RegisterService(&created->service);
+    created->server = builder.BuildAndStart();
+    if (!created->server || created->port == 0)
         return notRun(failure_reason::not_ready, "cannot listen on " + address);
-    return std::unique_ptr<peer_server>(new peer_server(std::move(made)));
+    return std::unique_ptr<peer_server>(new peer_server(std::move(created)));
 }
 
 int peer_server::port() const
@@ -170,7 +170,7 @@
         std::shared_ptr<wire::Peer::Stub> stub;
     };
 
-    // The least recently used channel gives way when there are too many.
+    // Returns the stub for an address; closes the least recently used channel if there are too many.
     std::shared_ptr<wire::Peer::Stub> stub(const std::string& address)
     {
         const auto found = byAddress.find(address);
@@ -178,8 +178,8 @@
             channels.splice(channels.begin(), channels, found->second);
             return channels.front().stub;
         }
-        auto made = grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), channelArguments());
-        channels.push_front({ address, std::shared_ptr<wire::Peer::Stub>(wire::Peer::NewStub(made)) });
+        auto created = grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), channelArguments());
+        channels.push_front({ address, std::shared_ptr<wire::Peer::Stub>(wire::Peer::NewStub(created)) });
         byAddress[address] = channels.begin();
         if (channels.size() > maxChannels) {
             byAddress.erase(channels.back().address);
@@ -203,8 +203,8 @@
                 auto shared = std::make_shared<decltype(handler)>(std::move(handler));
                 auto work = std::make_shared<asio::executor_work_guard<asio::io_context::executor_type>>(context.io().get_executor());
                 asio::io_context& io = context.io();
-                start(async, &pending->context, &pending->request, &pending->reply, [shared, work, pending, target, &io](grpc::Status ended) {
-                    asio::post(io, [shared, work, ended]() mutable { (*shared)(ended); });
+                start(async, &pending->context, &pending->request, &pending->reply, [shared, work, pending, target, &io](grpc::Status callStatus) {
+                    asio::post(io, [shared, work, callStatus]() mutable { (*shared)(callStatus); });
                 });
             },
             asio::use_awaitable);
--- a/Source/daemon/peer_link.h
+++ b/Source/daemon/peer_link.h
@@ -1,4 +1,4 @@
-// Messages between rampgap processes over gRPC; bridged to the one Asio thread.
+// Messages between rampgap processes over gRPC. Handlers and results run on the process's Asio thread.
 #pragma once
 
 #include "daemon/http_message.h"
@@ -46,7 +46,8 @@
     std::unique_ptr<implementation> m_implementation;
 };
 
-// Calls to other processes by address. Few channels are kept: peers are drawn at random.
+// Calls other processes by address. Only a limited number of channels stays open, as exchanges go to
+// random peers.
 class peer_client {
 public:
     explicit peer_client(process_context&);
--- a/Source/daemon/settings.cpp
+++ b/Source/daemon/settings.cpp
@@ -43,9 +43,9 @@
         return limits;
     }
 
-    // Reads the sections that all daemons share; `special` takes the daemon's own one.
-    template <class Settings, class Special>
-    settings_result<Settings> parseSettings(const std::string& text, const std::string& file, std::string_view ownSection, Special special)
+    // Reads the sections that all daemons share; `readOwnSection` reads the daemon's own section.
+    template <class Settings, class OwnSectionReader>
+    settings_result<Settings> parseSettings(const std::string& text, const std::string& file, std::string_view ownSection, OwnSectionReader readOwnSection)
     {
         auto parsed = ini_document::parse(text, file);
         if (!parsed)
@@ -63,7 +63,7 @@
             else if (section.name == "limits")
                 limits = readLimits(reader);
             else if (section.name == ownSection)
-                special(reader, settings);
+                readOwnSection(reader, settings);
             else {
                 errors.push_back({ file, section.line, "[" + section.name + "]", "unknown section", "use [process], [limits] or [" + std::string(ownSection) + "]" });
                 continue;
@@ -112,7 +112,7 @@
     std::ostringstream out;
     out << "| section | key | unit | default | meaning |\n| --- | --- | --- | --- | --- |\n";
     for (const auto& row : optionTable())
-        out << "| " << row.section << " | `" << row.key << "` | " << row.unit << " | " << row.fallback << " | " << row.help << " |\n";
+        out << "| " << row.section << " | `" << row.key << "` | " << row.unit << " | " << row.defaultValue << " | " << row.help << " |\n";
     return out.str();
 }
 
@@ -144,18 +144,18 @@
     if (!parsed)
         return parsed.error();
     std::vector<ini_section> sections = parsed.value().sections();
-    for (const auto& given : overrides) {
-        const auto dot = given.find('.');
-        const auto equals = given.find('=');
+    for (const auto& assignment : overrides) {
+        const auto dot = assignment.find('.');
+        const auto equals = assignment.find('=');
         if (dot == std::string::npos || equals == std::string::npos || dot > equals)
-            return std::vector<input_error> { { "command line", 0, given, "not an override", "write --set section.key=value" } };
-        const std::string section = given.substr(0, dot);
-        const std::string key = given.substr(dot + 1, equals - dot - 1);
-        auto place = std::find_if(sections.begin(), sections.end(), [&](const ini_section& s) { return s.name == section; });
-        if (place == sections.end())
-            place = sections.insert(sections.end(), ini_section { section, 0, {} });
-        std::erase_if(place->entries, [&](const ini_entry& entry) { return entry.key == key; });
-        place->entries.push_back({ key, given.substr(equals + 1), 0 });
+            return std::vector<input_error> { { "command line", 0, assignment, "not an override", "write --set section.key=value" } };
+        const std::string section = assignment.substr(0, dot);
+        const std::string key = assignment.substr(dot + 1, equals - dot - 1);
+        auto found = std::find_if(sections.begin(), sections.end(), [&](const ini_section& s) { return s.name == section; });
+        if (found == sections.end())
+            found = sections.insert(sections.end(), ini_section { section, 0, {} });
+        std::erase_if(found->entries, [&](const ini_entry& entry) { return entry.key == key; });
+        found->entries.push_back({ key, assignment.substr(equals + 1), 0 });
     }
     std::ostringstream out;
     for (const auto& section : sections) {
--- a/Source/daemon/settings.h
+++ b/Source/daemon/settings.h
@@ -1,4 +1,4 @@
-// Settings of the daemons: INI files with checked options; flags override them.
+// Settings of the daemons: INI files with validated options, which command-line flags override.
 #pragma once
 
 #include "daemon/http_server.h"
@@ -49,12 +49,12 @@
 template <class Settings>
 using settings_result = boost::outcome_v2::checked<Settings, std::vector<input_error>>;
 
-// One documented option; the reference page is printed from the table.
+// One documented option; the reference page is generated from the table of these rows.
 struct option_row {
     const char* section;
     const char* key;
     const char* unit;
-    const char* fallback;
+    const char* defaultValue;
     const char* help;
 };
 
@@ -68,7 +68,7 @@
 settings_result<entry_settings> parseEntrySettings(const std::string& text, const std::string& file);
 settings_result<agent_settings> parseAgentSettings(const std::string& text, const std::string& file);
 
-// Writes the overrides into the text, replacing or adding keys.
+// Applies the overrides to the text: replaces or adds keys.
 settings_result<std::string> applyOverrides(std::string text, const std::vector<setting_override>&);
 
 } // namespace rampgap
--- a/Source/daemon/sleep.h
+++ b/Source/daemon/sleep.h
@@ -1,4 +1,4 @@
-// Waits of coroutines, by the clock that goes on while the VM is suspended.
+// Coroutine sleeps on the clock that keeps running while the VM is suspended.
 #pragma once
 
 #include "daemon/http_message.h"
--- a/Source/daemon/stop_signal.cpp
+++ b/Source/daemon/stop_signal.cpp
@@ -29,8 +29,8 @@
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-// A blocked signal is pending from the moment in which it is sent. Its handler would run only when the
-// process gets the processor, and its loop hear of it after the requests that came meanwhile.
+// A blocked signal is pending from the moment it is sent. A signal handler would run only once the process
+// is scheduled, and the event loop would see the signal only after the requests that arrived in between.
 bool isStopSignalPending()
 {
     sigset_t pending;
@@ -47,9 +47,9 @@
         return;
     }
     auto reader = std::make_shared<boost::asio::posix::stream_descriptor>(io, descriptor);
-    auto taken = std::make_shared<signalfd_siginfo>();
-    reader->async_read_some(boost::asio::buffer(taken.get(), sizeof(*taken)), [reader, taken, signals, action = std::move(action)](boost::system::error_code error, std::size_t) {
-        // The next one ends the process at once.
+    auto info = std::make_shared<signalfd_siginfo>();
+    reader->async_read_some(boost::asio::buffer(info.get(), sizeof(*info)), [reader, info, signals, action = std::move(action)](boost::system::error_code error, std::size_t) {
+        // A second stop signal terminates the process at once.
         pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
         if (!error)
             action();
--- a/Source/daemon/stop_signal.h
+++ b/Source/daemon/stop_signal.h
@@ -6,10 +6,11 @@
 
 namespace rampgap {
 
-// Has the stop signals wait until they are asked for; to be called before the first thread starts.
+// Blocks SIGTERM and SIGINT so that they stay pending until `onStopSignal` reads them. To be called
+// before the first thread starts.
 void blockStopSignals();
 
-// True once a stop signal has been sent that `onStopSignal` has not told of yet.
+// True if a stop signal has been sent that `onStopSignal` has not read yet.
 bool isStopSignalPending();
 
 // Calls `action` on the process's thread at the first SIGTERM or SIGINT.
