--- a/Tests/platform/log-budget/test.cpp
+++ b/Tests/platform/log-budget/test.cpp
@@ -1,4 +1,5 @@
-// Log lines: bounded in a second and in memory, and never a wait for whoever reads them.
+// Guards against a log that floods its reader, grows in memory without bound, or blocks the process
+// when nothing reads the pipe.
 #include "daemon/decision_log.h"
 
 #include <doctest/doctest.h>
@@ -41,7 +42,7 @@
     CHECK(text.find("process=vm-1 n=1 event=request_failed request=r1 detail=\"two words and \\\"more\\\"\" tries=2 took_ms=15\n") != std::string::npos);
 }
 
-TEST_CASE("lines about requests beyond the budget are dropped and counted, others are not")
+TEST_CASE("request lines beyond the budget are dropped and counted, other lines are kept")
 {
     pipe_pair made;
     decision_log log("vm-1", made.ends[1]);
@@ -55,7 +56,7 @@
     CHECK(text.find("event=log_lines_dropped count=") != std::string::npos);
 }
 
-TEST_CASE("a reader that stands still costs a bounded buffer, and flushing returns")
+TEST_CASE("with a reader that does not read, the buffer is bounded and flush returns")
 {
     pipe_pair made;
     decision_log log("vm-1", made.ends[1]);
--- a/Tests/settings/input/test.cpp
+++ b/Tests/settings/input/test.cpp
@@ -1,4 +1,4 @@
-// Settings of the daemons: every fault with file, line, key and mend.
+// Invalid settings of the daemons are reported with file, line, key and a way to correct them.
 
 #include "daemon/settings.h"
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("good settings are taken, defaults filled in")
+TEST_CASE("valid settings are accepted, and defaults are filled in")
 {
     const auto parsed = parseEntrySettings(good + "[limits]\nmax_body_bytes = 2048\n", "entry.ini");
     REQUIRE(parsed.has_value());
@@ -28,7 +28,7 @@
     CHECK(parsed.value().routing == "scored");
 }
 
-TEST_CASE("each fault names its place and mend")
+TEST_CASE("each error message names the position and the correction")
 {
     CHECK(faultOf("").find("add [process]") != std::string::npos);
     CHECK(faultOf("[process]\nname = e1\n").find("[process] zone: missing; add zone") != std::string::npos);
@@ -40,7 +40,7 @@
     CHECK(faultOf(good + "fault_switches = maybe\n").find("neither yes nor no") != std::string::npos);
 }
 
-TEST_CASE("overrides replace and add keys, and are checked alike")
+TEST_CASE("overrides replace and add keys, and are validated like the file")
 {
     const auto text = applyOverrides(good, { "process.zone=ariana", "limits.max_connections=7" });
     REQUIRE(text.has_value());
@@ -51,7 +51,7 @@
     CHECK(applyOverrides(good, { "zone" }).has_error());
 }
 
-TEST_CASE("any text is survived")
+TEST_CASE("arbitrary text is refused without a crash")
 {
     CHECK(rc::check("any settings", [](const std::string& text) { RC_ASSERT(parseAgentSettings(text, "f").has_error()); }));
 }
--- a/Tests/settings/reference/test.cpp
+++ b/Tests/settings/reference/test.cpp
@@ -1,4 +1,4 @@
-// The reference pages say what the code says.
+// Guards against reference pages that differ from the options and metrics in the code.
 
 #include "daemon/metrics.h"
 #include "daemon/settings.h"
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("docs/reference/settings.md holds the table that the daemons print")
+TEST_CASE("docs/reference/settings.md contains the table that the daemons print")
 {
     CHECK(readPage("settings.md").find(optionReference()) != std::string::npos);
 }
