--- a/Source/daemon/answer_relay.cpp
+++ b/Source/daemon/answer_relay.cpp
@@ -8,7 +8,7 @@
 
     // Answers of a stated length up to this are buffered and sent in one write.
     constexpr std::int64_t wholeAnswerBytes = 65'536;
-    // Largest answer without a stated length that is buffered (bufferUnframed).
+    // Largest plain answer that is buffered with `bufferUnframed`, where its end may not be known in advance.
     constexpr std::size_t bufferedAnswerBytes = 4'194'304;
     constexpr std::string_view eventEnd = "\n\n";
 
@@ -20,7 +20,7 @@
         head.erase(http::field::keep_alive);
     }
 
-    // Holds back the beginning of an event until the whole event has arrived.
+    // Holds back the beginning of an event until the complete event has arrived.
     class event_splitter {
     public:
         // Returns all events that are complete now that `piece` has arrived.
@@ -30,9 +30,9 @@
             const auto end = m_partial.rfind(eventEnd);
             if (end == std::string::npos)
                 return {};
-            std::string whole = m_partial.substr(0, end + eventEnd.size());
-            m_partial.erase(0, whole.size());
-            return whole;
+            std::string complete = m_partial.substr(0, end + eventEnd.size());
+            m_partial.erase(0, complete.size());
+            return complete;
         }
 
         std::string takeRest() { return std::exchange(m_partial, {}); }
@@ -166,10 +166,10 @@
         if (last && events && splitter.inEvent() && !call.framed())
             co_return incompleteOutcome(false, mayHaveRun(failure_reason::connection_lost, "the stream ended inside an event"));
         copy.append(piece.value());
-        std::string whole;
+        std::string complete;
         if (events)
-            whole = last ? splitter.takeRest() : splitter.push(piece.value());
-        const std::string_view out = events ? std::string_view(whole) : piece.value();
+            complete = last ? splitter.takeRest() : splitter.push(piece.value());
+        const std::string_view out = events ? std::string_view(complete) : piece.value();
         if (callerConnected && !out.empty()) {
             callerConnected = co_await exchange.write(out);
             progress.events += events ? countEvents(out) : 0;
--- a/Source/daemon/answer_relay.h
+++ b/Source/daemon/answer_relay.h
@@ -39,8 +39,8 @@
     instant deadline {};
     // Called once, after the first read of the body.
     std::function<void()> onFirstBytes;
-    // Also buffer answers without a stated length that are no event streams, so that none is begun
-    // that breaks off before its end.
+    // Buffer every answer that is not an event stream, even without a stated length, so that no answer is
+    // begun that breaks off before its end.
     bool bufferUnframed = false;
 };
 
--- a/Source/daemon/configuration_node.cpp
+++ b/Source/daemon/configuration_node.cpp
@@ -18,7 +18,7 @@
 
     constexpr int windowSize = 8;
     constexpr milliseconds watchWait { 5'000 };
-    // A process that is no reader also reads the service now and then, in case all readers have failed.
+    // A process that is not a reader also reads the service now and then, in case all readers have failed.
     // The interval grows by this for each `vmsPerOwnRead` listed VMs, so that the total rate of these
     // reads does not grow with the fleet.
     constexpr milliseconds ownReadPeriod { 60'000 };
--- a/Source/discovery/json_reading.h
+++ b/Source/discovery/json_reading.h
@@ -1,4 +1,4 @@
-// Read members of JSON objects; a default is returned if a member is absent or has another type.
+// Functions that read members of JSON objects; they return a default if a member is absent or has another type.
 #pragma once
 
 #include <boost/json.hpp>
