--- a/Source/agent/agent_server.cpp
+++ b/Source/agent/agent_server.cpp
@@ -59,7 +59,7 @@
         return peer.error();
     made->m_peerServer = std::move(peer.value());
     const std::string host = hostOf(made->m_settings.process.peerListen);
-    made->m_engine.onNews([raw = made.get()] { raw->m_configuration.tellCrashes(); });
+    made->m_engine.onNews([raw = made.get()] { raw->m_configuration.announceCrashes(); });
     made->m_configuration.start(host + ":" + std::to_string(made->peerPort()));
     made->m_gate.start();
     made->m_keeper.start();
@@ -153,7 +153,7 @@
 awaitable<void> agent_server::refuse(http_exchange& exchange, const failure& refused, const std::string& correlation)
 {
     m_context.counters().countFailure(refused);
-    m_context.note(event_kind::request_refused, correlation, "reason=" + std::string(toString(refused.reason)) + " verdict=" + std::string(toString(refused.ran)));
+    m_context.recordEvent(event_kind::request_refused, correlation, "reason=" + std::string(toString(refused.reason)) + " verdict=" + std::string(toString(refused.ran)));
     auto response = makeFailure(refused);
     addOwnHeaders(response);
     co_await exchange.send(std::move(response));
@@ -258,10 +258,10 @@
         co_return refused;
     }
     const instant startedAt = m_context.now();
-    m_context.note(event_kind::request_started, order.correlation, "workspace=" + order.admission.workspace);
+    m_context.recordEvent(event_kind::request_started, order.correlation, "workspace=" + order.admission.workspace);
     auto failed = co_await callEngine(exchange, order);
     m_gate.leave(admitted.value(), m_context.now() - startedAt);
-    m_context.note(event_kind::request_finished, order.correlation, failed ? "failed=" + failed->message : "");
+    m_context.recordEvent(event_kind::request_finished, order.correlation, failed ? "failed=" + failed->message : "");
     co_return failed;
 }
 
@@ -269,7 +269,7 @@
 {
     lost_call call { order.correlation, order.fingerprint, events, sentAt, m_context.now() };
     co_await m_engine.recordLost(std::move(life), std::move(call));
-    co_await m_configuration.awaitCrashesTold();
+    co_await m_configuration.awaitCrashesAnnounced();
 }
 
 std::optional<milliseconds> agent_server::takeNotice(const http_head& head)
@@ -279,7 +279,7 @@
     if (backoff)
         m_intake.recordBackoff(*backoff, m_context.now());
     if (headerText(head, header::leaving) == "1" && m_intake.recordLeaving()) {
-        logState("engine_leaving", "engine=" + m_settings.engine);
+        logStateChange("engine_leaving", "engine=" + m_settings.engine);
         asio::co_spawn(m_context.io(), awaitEngineEnd(), asio::detached);
     }
     return backoff;
@@ -300,7 +300,7 @@
             co_await sleepFor(m_context.io(), engineLookPause);
     }
     m_intake.forget();
-    logState("engine_ended", "engine=" + m_settings.engine);
+    logStateChange("engine_ended", "engine=" + m_settings.engine);
 }
 
 awaitable<std::optional<failure>> agent_server::callEngine(http_exchange& exchange, const work_order& order)
@@ -358,13 +358,13 @@
         m_guard.ledger().finish(*order.onceId, { status, contentType, *outcome.recorded }, m_context.now());
     else if (once)
         m_guard.ledger().finishWithoutAnswer(*order.onceId, m_context.now());
-    if (outcome.end == relay_end::whole) {
+    if (outcome.end == relay_end::complete) {
         m_context.counters().add(metric::requests_answered);
         m_engine.recordServed(order.fingerprint);
     }
     if (outcome.end == relay_end::caller_gone && progress.events == 0)
         co_await recordLost(life, order, 0, sentAt);
-    if (outcome.end != relay_end::cut)
+    if (outcome.end != relay_end::truncated)
         co_return std::nullopt;
     failure cut = outcome.failed.value_or(failure {});
     if (cut.reason == failure_reason::connection_lost)
@@ -379,8 +379,8 @@
     if (std::exchange(m_leaving, true))
         return;
     m_pages.setLeaving();
-    m_context.note(event_kind::leaving, "", "");
-    logState("leaving", "");
+    m_context.recordEvent(event_kind::leaving, "", "");
+    logStateChange("leaving", "");
     asio::co_spawn(m_context.io(), leaveGracefully(), asio::detached);
 }
 
@@ -389,8 +389,8 @@
     co_await m_keeper.giveAway();
     co_await sleepFor(m_context.io(), m_settings.process.linger);
     std::function<int()> inFlight = [this] { return m_inFlight; };
-    co_await drainToEnd(m_context, *m_http, std::move(inFlight));
-    logState("stopped", "");
+    co_await drainConnections(m_context, *m_http, std::move(inFlight));
+    logStateChange("stopped", "");
     m_context.io().stop();
 }
 
--- a/Source/agent/engine_guard.cpp
+++ b/Source/agent/engine_guard.cpp
@@ -35,18 +35,18 @@
 {
     if (life == m_life)
         ++m_life.incarnation;
-    logProblem("engine_crashed", "engine=" + address + " reason=\"" + why + "\" calls=" + std::to_string(calls));
+    logWarning("engine_crashed", "engine=" + address + " reason=\"" + why + "\" calls=" + std::to_string(calls));
 }
 
 void engine_guard::onCallCrashed(const server_incarnation&, const lost_call& call)
 {
-    logState("call_crashed", "request=" + call.requestId + " fingerprint=" + toString(call.request) + " events=" + std::to_string(call.events));
+    logStateChange("call_crashed", "request=" + call.requestId + " fingerprint=" + toString(call.request) + " events=" + std::to_string(call.events));
     tell();
 }
 
 void engine_guard::onProbeUnanswered(const server_incarnation&, const std::string& address, const std::string& reason)
 {
-    logProblem("look_unanswered", "engine=" + address + " reason=\"" + reason + "\"");
+    logWarning("look_unanswered", "engine=" + address + " reason=\"" + reason + "\"");
 }
 
 void engine_guard::tell()
--- a/Source/agent/group_member.cpp
+++ b/Source/agent/group_member.cpp
@@ -98,7 +98,7 @@
 wire::GroupMessage group_member::toWire(const map_message& message) const
 {
     wire::GroupMessage made;
-    m_configuration.stamp(made);
+    m_configuration.fillSender(made);
     made.set_group(m_group ? m_group->name : "");
     made.set_kind(static_cast<std::uint32_t>(message.kind));
     made.set_fence(message.fence.number);
@@ -149,7 +149,7 @@
     if (!confirmed)
         co_return toWire(refused);
     made.answer.state = confirmed.value().state;
-    m_context.note(event_kind::map_switch, "", "order=" + std::to_string(static_cast<int>(made.order.kind)) + " map=" + std::to_string(made.order.map) + " step=" + std::to_string(made.order.step));
+    m_context.recordEvent(event_kind::map_switch, "", "order=" + std::to_string(static_cast<int>(made.order.kind)) + " map=" + std::to_string(made.order.map) + " step=" + std::to_string(made.order.step));
     co_return toWire(made.answer);
 }
 
@@ -218,13 +218,13 @@
         return;
     own.placement = own.proposed;
     m_context.counters().add(metric::map_switches);
-    logState("map_committed", "group=" + m_group->name + " map=" + std::to_string(own.coordinator.map()));
+    logStateChange("map_committed", "group=" + m_group->name + " map=" + std::to_string(own.coordinator.map()));
 }
 
 awaitable<bool> group_member::readReports()
 {
     const auto report = co_await m_engine->report();
-    if (!report || !m_coordination || !report.value().abilities.gatesAtStep)
+    if (!report || !m_coordination || !report.value().capabilities.gatesAtStep)
         co_return false;
     if (report.value().expertCounts.size() != static_cast<std::size_t>(m_group->experts))
         co_return false;
@@ -247,7 +247,7 @@
     own.weightsMoved = rampgap::weightsMoved(own.placement, own.proposed);
     if (own.weightsMoved == 0)
         co_return;
-    logState("map_proposed", "group=" + m_group->name + " weights=" + std::to_string(own.weightsMoved));
+    logStateChange("map_proposed", "group=" + m_group->name + " weights=" + std::to_string(own.weightsMoved));
     own.coordinator.propose(own.coordinator.highestStep() + stepsAhead);
 }
 
--- a/Source/agent/home_keeper.cpp
+++ b/Source/agent/home_keeper.cpp
@@ -65,7 +65,7 @@
 wire::HandoverRequest home_keeper::makeRequest(bool takeBack, bool wantIds) const
 {
     wire::HandoverRequest request;
-    m_configuration.stamp(request);
+    m_configuration.fillSender(request);
     request.set_take_back(takeBack);
     request.set_want_ids(wantIds);
     return request;
@@ -107,7 +107,7 @@
     if (!reply || reply.value().sender().name() != name)
         co_return;
     if (m_guard.acceptHandover(answerOf(reply.value()), m_context.now()))
-        logState("handover", "from=" + name + " ids=" + std::to_string(reply.value().ids_size()));
+        logStateChange("handover", "from=" + name + " ids=" + std::to_string(reply.value().ids_size()));
 }
 
 // A keeper that does not answer may hold the memory: it is asked again for a while.
@@ -130,7 +130,7 @@
         }
         if (!m_guard.restoreMemory(answerOf(reply.value()), m_context.now()))
             continue;
-        logState("memory_back", "from=" + name + " ids=" + std::to_string(reply.value().ids_size()));
+        logStateChange("memory_back", "from=" + name + " ids=" + std::to_string(reply.value().ids_size()));
         co_return true;
     }
     co_return allAnswered;
@@ -144,7 +144,7 @@
     if (!deposit)
         co_return;
     wire::DepositRequest request;
-    m_configuration.stamp(request);
+    m_configuration.fillSender(request);
     request.mutable_sender()->set_revision(deposit->owner.revision);
     request.set_grant_ms(static_cast<std::uint64_t>(deposit->grantLifetime.count()));
     for (const std::uint64_t hash : deposit->ids)
@@ -152,7 +152,7 @@
     for (const auto& name : m_guard.ownership().standbys()) {
         const auto reply = co_await m_peers.deposit(peerAddress(name), request, askTimeout);
         if (reply && reply.value().accepted()) {
-            logState("ids_given_away", "to=" + name + " ids=" + std::to_string(request.ids_size()));
+            logStateChange("ids_given_away", "to=" + name + " ids=" + std::to_string(request.ids_size()));
             co_return;
         }
         if (!reply && reply.error().ran != verdict::not_run)
@@ -164,7 +164,7 @@
 {
     const auto made = m_guard.answerHandover(standingOf(request.sender()), request.take_back(), m_context.now());
     wire::HandoverReply reply;
-    m_configuration.stamp(reply);
+    m_configuration.fillSender(reply);
     reply.set_vouches(made.vouches);
     reply.set_gave_back(made.grantRevision.has_value());
     reply.set_grant_revision(made.grantRevision.value_or(0));
@@ -184,8 +184,8 @@
     wire::DepositReply reply;
     reply.set_accepted(m_guard.acceptDeposit(deposit, m_context.now()));
     if (reply.accepted())
-        logState("grant_accepted", "owner=" + deposit.owner.name + " ids=" + std::to_string(deposit.ids.size()));
-    m_configuration.stamp(reply);
+        logStateChange("grant_accepted", "owner=" + deposit.owner.name + " ids=" + std::to_string(deposit.ids.size()));
+    m_configuration.fillSender(reply);
     return reply;
 }
 
--- a/Source/daemon/admission_place.h
+++ b/Source/daemon/admission_slot.h
@@ -7,24 +7,24 @@
 
 namespace rampgap {
 
-class admission_place {
+class admission_slot {
 public:
     // An empty object, for a request that needs no slot.
-    admission_place() = default;
-    admission_place(admission_gate& gate, admission_id id)
+    admission_slot() = default;
+    admission_slot(admission_gate& gate, admission_id id)
         : m_gate(&gate)
         , m_id(id)
     {
     }
-    admission_place(admission_place&& other) noexcept
+    admission_slot(admission_slot&& other) noexcept
         : m_gate(std::exchange(other.m_gate, nullptr))
         , m_id(other.m_id)
     {
     }
-    admission_place(const admission_place&) = delete;
-    admission_place& operator=(const admission_place&) = delete;
-    admission_place& operator=(admission_place&&) = delete;
-    ~admission_place()
+    admission_slot(const admission_slot&) = delete;
+    admission_slot& operator=(const admission_slot&) = delete;
+    admission_slot& operator=(admission_slot&&) = delete;
+    ~admission_slot()
     {
         if (m_gate)
             m_gate->leave(m_id);
--- a/Source/daemon/configuration_node.cpp
+++ b/Source/daemon/configuration_node.cpp
@@ -258,7 +258,7 @@
     m_context.timeline().observe(reply.value().sender().clock());
     m_lastPeer = m_context.now();
     if (mergeCrashes(reply.value().crashes(), m_crashes, m_context.now()))
-        tellCrashes();
+        announceCrashes();
     m_peerConfirmed = m_peerConfirmed || reply.value().sender().revision() > 0;
     for (const auto& document : reply.value().documents()) {
         if (document.kind() == wire::Document::DECLARATION) {
@@ -283,7 +283,7 @@
     fillSender(reply);
     addCrashes(*reply.mutable_crashes(), m_crashes.repeated(m_context.now()));
     if (mergeCrashes(request.crashes(), m_crashes, m_context.now()))
-        tellCrashes();
+        announceCrashes();
     addCrashes(*reply.mutable_crashes(), m_crashes.recordsOf({ request.asked_request() }, m_context.now()));
     reply.set_vm_list_version(m_vms.version);
     reply.set_vm_list_epoch(m_vms.epoch);
@@ -332,7 +332,7 @@
     co_await exchangeWith(peer.address, peer.name, std::move(request));
 }
 
-void configuration_node::tellCrashes()
+void configuration_node::announceCrashes()
 {
     const auto all = peers();
     const auto isEntry = [](const peer_endpoint& peer) { return peer.role == vm_role::entry; };
@@ -361,14 +361,14 @@
 }
 
 // As soon as the caller of a lost request has its failure, it may retry through another entry VM.
-awaitable<void> configuration_node::awaitCrashesTold()
+awaitable<void> configuration_node::awaitCrashesAnnounced()
 {
     const instant end = m_context.now() + crashAnnouncementTimeout;
     while (m_pendingEntryAnnouncements > 0 && m_context.now() < end)
         co_await sleepFor(m_context.io(), crashAnnouncementPoll);
 }
 
-awaitable<void> configuration_node::askAbout(request_fingerprint lost, std::string backend)
+awaitable<void> configuration_node::queryCrashes(request_fingerprint lost, std::string backend)
 {
     const auto all = peers();
     const auto agent = std::find_if(all.begin(), all.end(), [&backend](const peer_endpoint& peer) { return peer.name == backend; });
@@ -378,7 +378,7 @@
     request.set_asked_request(lost.value);
     const auto reply = co_await m_peers.exchange(agent->address, std::move(request), crashQueryTimeout);
     if (reply && mergeCrashes(reply.value().crashes(), m_crashes, m_context.now()))
-        tellCrashes();
+        announceCrashes();
 }
 
 void configuration_node::applyAndAnnounce(const offer_outcome& outcome, const std::string& from)
@@ -404,7 +404,7 @@
     if (outcome.kind == offer_kind::refused) {
         m_context.counters().add(metric::revisions_refused);
         m_context.recordEvent(event_kind::revision_refused, "", revision + " from=" + from + " reason=" + outcome.reason);
-        logProblem("revision_refused", revision + " from=" + from + " reason=\"" + outcome.reason + "\"");
+        logWarning("revision_refused", revision + " from=" + from + " reason=\"" + outcome.reason + "\"");
         return;
     }
     if (outcome.kind != offer_kind::accepted)
@@ -414,7 +414,7 @@
     m_context.counters().add(metric::revisions_accepted);
     m_context.counters().set(metric::revision_in_force, static_cast<double>(m_chain.revision()));
     m_context.recordEvent(event_kind::revision_in_force, "", revision + " from=" + from);
-    logState("revision_in_force", revision + " from=" + from);
+    logStateChange("revision_in_force", revision + " from=" + from);
     m_listener.onDeclaration(m_chain.inForce());
 }
 
--- a/Source/daemon/configuration_node.h
+++ b/Source/daemon/configuration_node.h
@@ -37,12 +37,12 @@
     bool isResponsibleEntry(std::string_view key) const;
     // Sends updates of the crash history to all entry VMs if they are few, and to random processes,
     // which pass them on.
-    void tellCrashes();
+    void announceCrashes();
     // Asks the agent of a backend server for its crash records of a request that was lost there.
-    awaitable<void> askAbout(request_fingerprint, std::string backend);
-    // Returns when all reachable entry VMs have acknowledged what `tellCrashes` sent them directly,
+    awaitable<void> queryCrashes(request_fingerprint, std::string backend);
+    // Returns when all reachable entry VMs have acknowledged what `announceCrashes` sent them directly,
     // or after a timeout.
-    awaitable<void> awaitCrashesTold();
+    awaitable<void> awaitCrashesAnnounced();
     // Fills in the sender fields of a message with the state of this process.
     template <class Message>
     void fillSender(Message& message) const
--- a/Source/daemon/daemon_main.cpp
+++ b/Source/daemon/daemon_main.cpp
@@ -91,7 +91,7 @@
     std::cout << "ready http=" << httpPort << " peer=" << peerPort << std::endl;
 }
 
-void runToEnd(process_context& context)
+void runUntilStopped(process_context& context)
 {
     context.io().run();
     std::cout.flush();
--- a/Source/daemon/daemon_main.h
+++ b/Source/daemon/daemon_main.h
@@ -47,7 +47,7 @@
 void printReady(int httpPort, int peerPort);
 
 // Runs the process until its io context has no more work, then exits without destroying gRPC objects.
-[[noreturn]] void runToEnd(process_context&);
+[[noreturn]] void runUntilStopped(process_context&);
 
 template <class Server, class Settings>
 int runDaemon(int argc, char** argv, const daemon_identity& identity, settings_result<Settings> (*parse)(const std::string& text, const std::string& file))
@@ -76,7 +76,7 @@
     }
     onStopSignal(context.io(), [&] { server.value()->leave(); });
     printReady(server.value()->httpPort(), server.value()->peerPort());
-    runToEnd(context);
+    runUntilStopped(context);
 }
 
 } // namespace rampgap
--- a/Source/daemon/graceful_stop.cpp
+++ b/Source/daemon/graceful_stop.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-awaitable<void> drainToEnd(process_context& context, http_server& server, std::function<int()> inFlight)
+awaitable<void> drainConnections(process_context& context, http_server& server, std::function<int()> inFlight)
 {
     server.drain();
     while (inFlight() > 0 || server.openConnections() > 0) {
--- a/Source/daemon/graceful_stop.h
+++ b/Source/daemon/graceful_stop.h
@@ -9,6 +9,6 @@
 
 // Closes each connection of the server after its answer. Returns once none is open and `inFlight`
 // returns 0.
-awaitable<void> drainToEnd(process_context&, http_server&, std::function<int()> inFlight);
+awaitable<void> drainConnections(process_context&, http_server&, std::function<int()> inFlight);
 
 } // namespace rampgap
--- a/Source/daemon/log.cpp
+++ b/Source/daemon/log.cpp
@@ -25,12 +25,12 @@
     el::Loggers::reconfigureAllLoggers(configuration);
 }
 
-void logState(std::string_view event, std::string_view detail)
+void logStateChange(std::string_view event, std::string_view detail)
 {
     LOG(INFO) << "process=" << processName << " event=" << event << " " << detail;
 }
 
-void logProblem(std::string_view event, std::string_view detail)
+void logWarning(std::string_view event, std::string_view detail)
 {
     LOG(WARNING) << "process=" << processName << " event=" << event << " " << detail;
 }
--- a/Source/daemon/metrics.cpp
+++ b/Source/daemon/metrics.cpp
@@ -39,7 +39,7 @@
         { metric::log_lines_dropped, "rampgap_log_lines_dropped", "Log lines dropped by their budget or a full pipe since the start", true },
         { metric::servers_crashed, "rampgap_servers_crashed_total", "Backend servers found to have crashed while they ran requests from here", false },
         { metric::calls_crashed, "rampgap_calls_crashed_total", "Calls that a backend server was running as it crashed", false },
-        { metric::requests_barred, "rampgap_requests_barred", "Requests that are sent to no server since several crashed under each", true },
+        { metric::requests_blocked, "rampgap_requests_barred", "Requests that are sent to no server since several crashed under each", true },
         { metric::store_epoch, "rampgap_store_epoch", "Epoch of the users' store in the newest answer: it rises when the store comes back from an older copy", true },
         { metric::store_revision, "rampgap_store_revision", "Revision of the users' store that this process holds", true },
         { metric::store_readings_refused, "rampgap_store_readings_refused_total", "Listings of the users' store that were refused as older than what is held", false },
--- a/Source/daemon/metrics.h
+++ b/Source/daemon/metrics.h
@@ -44,7 +44,7 @@
     log_lines_dropped,
     servers_crashed,
     calls_crashed,
-    requests_barred,
+    requests_blocked,
     store_epoch,
     store_revision,
     store_readings_refused,
--- a/Source/daemon/operator_pages.cpp
+++ b/Source/daemon/operator_pages.cpp
@@ -137,7 +137,7 @@
 {
     const auto names = splitList(request.body());
     m_context.cut({ names.begin(), names.end() });
-    logProblem("cut", "addresses=\"" + request.body() + "\"");
+    logWarning("cut", "addresses=\"" + request.body() + "\"");
     return makeResponse(200, "text/plain", "ok\n");
 }
 
--- a/Source/daemon/stop_signal.cpp
+++ b/Source/daemon/stop_signal.cpp
@@ -43,7 +43,7 @@
     const sigset_t signals = stopSignals();
     const int descriptor = signalfd(-1, &signals, SFD_CLOEXEC | SFD_NONBLOCK);
     if (descriptor < 0) {
-        logProblem("no_stop_signal", std::string("reason=\"") + std::strerror(errno) + "\"");
+        logWarning("no_stop_signal", std::string("reason=\"") + std::strerror(errno) + "\"");
         return;
     }
     auto reader = std::make_shared<boost::asio::posix::stream_descriptor>(io, descriptor);
--- a/Source/discovery/rank_engine.cpp
+++ b/Source/discovery/rank_engine.cpp
@@ -21,7 +21,7 @@
         const json::object& object = parsed.get_object();
         rank_report report;
         report.state = { numberIn(object, "step"), numberIn(object, "committed_map"), numberIn(object, "committed_step"), numberIn(object, "staged_map"), numberIn(object, "staged_step") };
-        report.abilities = { flagIn(object, "gates_at_step"), flagIn(object, "checks_fencing") };
+        report.capabilities = { flagIn(object, "gates_at_step"), flagIn(object, "checks_fencing") };
         if (const json::value* counts = object.if_contains("expert_counts"); counts && counts->is_array()) {
             for (const json::value& count : counts->get_array())
                 report.expertCounts.push_back(count.to_number<double>(error));
--- a/Source/discovery/rank_engine.h
+++ b/Source/discovery/rank_engine.h
@@ -12,19 +12,19 @@
 class http_client;
 
 // Capabilities of an engine. A map switch requires `gatesAtStep`; the agent makes up for a missing `checksFencing`.
-struct engine_abilities {
+struct engine_capabilities {
     // The engine waits before a staged step until it is ordered to commit or abort.
     bool gatesAtStep = false;
     // The engine itself refuses orders with an outdated fencing number.
     bool checksFencing = false;
 
-    bool operator==(const engine_abilities&) const = default;
+    bool operator==(const engine_capabilities&) const = default;
 };
 
 // The report of a rank: its state, and its counts since the last report.
 struct rank_report {
     rank_state state;
-    engine_abilities abilities;
+    engine_capabilities capabilities;
     // Tokens per expert of the group; `timePerWork` is this rank's time per unit of work.
     std::vector<double> expertCounts;
     double timePerWork = 1;
--- a/Source/entry/entry_server.cpp
+++ b/Source/entry/entry_server.cpp
@@ -67,7 +67,7 @@
     m_dispatcher.apply(*current);
     m_fleet = fleet_snapshot::make(std::move(current));
     if (first)
-        m_context.note(event_kind::ready, "", "");
+        m_context.recordEvent(event_kind::ready, "", "");
 }
 
 void entry_server::onVmList(const vm_list& list)
@@ -105,8 +105,8 @@
     if (!paused && !m_dispatcher.takePauseSign())
         return false;
     m_context.counters().add(metric::pauses_detected);
-    m_context.note(event_kind::paused, "", "");
-    logProblem("paused", "action=drop_unread_connections");
+    m_context.recordEvent(event_kind::paused, "", "");
+    logWarning("paused", "action=drop_unread_connections");
     m_dispatcher.dropPermits();
     m_http->dropUnread();
     return true;
@@ -172,7 +172,7 @@
         co_await refuse(exchange, entered.error(), made.correlation);
         co_return;
     }
-    m_context.note(event_kind::request_received, made.correlation, "workspace=" + made.workspace->name + " service=" + made.service->name);
+    m_context.recordEvent(event_kind::request_received, made.correlation, "workspace=" + made.workspace->name + " service=" + made.service->name);
     const std::string session = made.session.empty() ? "" : made.workspace->name + '\n' + made.session;
     if (session.empty()) {
         co_await m_dispatcher.dispatch(exchange, made);
@@ -223,8 +223,8 @@
     if (std::exchange(m_leaving, true))
         return;
     m_pages.setLeaving();
-    m_context.note(event_kind::leaving, "", "");
-    logState("leaving", "");
+    m_context.recordEvent(event_kind::leaving, "", "");
+    logStateChange("leaving", "");
     asio::co_spawn(m_context.io(), leaveGracefully(), asio::detached);
 }
 
@@ -234,8 +234,8 @@
     co_await sleepFor(m_context.io(), m_settings.process.linger);
     m_refusing = true;
     std::function<int()> inFlight = [this] { return m_inFlight; };
-    co_await drainToEnd(m_context, *m_http, std::move(inFlight));
-    logState("stopped", "");
+    co_await drainConnections(m_context, *m_http, std::move(inFlight));
+    logStateChange("stopped", "");
     m_context.io().stop();
 }
 
--- a/Source/entry/request_dispatcher.cpp
+++ b/Source/entry/request_dispatcher.cpp
@@ -140,7 +140,7 @@
     auto failed = co_await tryOn(exchange, request, id, progress, {});
     const bool isLost = failed && failed->ran != verdict::not_run;
     if (isLost)
-        co_await m_configuration.askAbout(request.fingerprint, m_table.view(id).name);
+        co_await m_configuration.queryCrashes(request.fingerprint, m_table.view(id).name);
     if (isTrial)
         m_crashes.endIsolatedAttempt(request.fingerprint, isLost, m_context.now());
     co_return failed;
@@ -289,7 +289,7 @@
     http_call call(m_client);
     const caller_watch watch(exchange, [&call] { call.cancel(); });
     m_table.recordSent(id);
-    m_context.note(event_kind::request_sent, request.correlation, "to=" + m_table.view(id).name);
+    m_context.recordEvent(event_kind::request_sent, request.correlation, "to=" + m_table.view(id).name);
     auto head = co_await call.start(m_table.view(id).address, makeUpstream(exchange.request(), request, id, progress, permitText), request.deadline);
     std::optional<failure> failed;
     if (!head) {
@@ -312,7 +312,7 @@
             head.value().set(header::requestId, request.correlation);
             head.value().set(header::revision, std::to_string(request.fleet->revision()));
             const auto outcome = co_await relayAnswer(call, std::move(head.value()), exchange, progress, options);
-            if (outcome.end == relay_end::cut)
+            if (outcome.end == relay_end::truncated)
                 failed = outcome.failed;
         }
     }
@@ -320,14 +320,14 @@
     if (exchange.callerGone())
         co_return std::nullopt;
     if (failed)
-        m_context.note(event_kind::request_refused, request.correlation, "by=" + m_table.view(id).name + " reason=" + std::string(toString(failed->reason)) + " verdict=" + std::string(toString(failed->ran)));
+        m_context.recordEvent(event_kind::request_refused, request.correlation, "by=" + m_table.view(id).name + " reason=" + std::string(toString(failed->reason)) + " verdict=" + std::string(toString(failed->ran)));
     co_return failed;
 }
 
 awaitable<void> request_dispatcher::answerFailure(http_exchange& exchange, const caller_request& request, failure failed, bool begun)
 {
     m_context.counters().countFailure(failed);
-    m_context.note(event_kind::request_lost, request.correlation, "reason=" + std::string(toString(failed.reason)) + " verdict=" + std::string(toString(failed.ran)));
+    m_context.recordEvent(event_kind::request_lost, request.correlation, "reason=" + std::string(toString(failed.reason)) + " verdict=" + std::string(toString(failed.ran)));
     if (!begun) {
         if (failed.ran == verdict::not_run && !failed.retryAfter && httpStatus(failed.reason) >= 500)
             failed.retryAfter = noBackendRetryAfter;
--- a/Source/gateway/crash_reporter.cpp
+++ b/Source/gateway/crash_reporter.cpp
@@ -110,7 +110,7 @@
             m_log.line(isBlocked ? "request_barred" : "request_cleared").add("fingerprint", toString(record.request)).add("crashes", record.crashes.size()).add("served", static_cast<int>(record.served)).add("age_ms", age);
     }
     m_blocked = now;
-    m_context.counters().set(metric::requests_barred, static_cast<double>(m_blocked.size()));
+    m_context.counters().set(metric::requests_blocked, static_cast<double>(m_blocked.size()));
 }
 
 void crash_reporter::runPeriodicWork()
--- a/Source/gateway/group_leader.cpp
+++ b/Source/gateway/group_leader.cpp
@@ -81,7 +81,7 @@
     const std::size_t largestAnswer = wantsCounts ? countsBytes() : stateAnswerBytes;
     const auto outcome = co_await m_caller.call(std::move(targets), std::nullopt, wantsCounts, callBudget(m_caller.limits(largestAnswer)));
     const instant now = m_context.now();
-    m_context.counters().observe(latency::look, now - began);
+    m_context.counters().observe(latency::group_poll, now - began);
     const auto reached = std::count_if(outcome.ranks.begin(), outcome.ranks.end(), [](const rank_outcome& rank) { return rank.reached; });
     m_log.line("ranks_looked_at").add("ranks", ids.size()).add("reached", reached).add("counts", wantsCounts ? "yes" : "no").add("took_ms", now - began);
     for (const auto& rank : outcome.ranks) {
--- a/Source/gateway/slot_allocator.cpp
+++ b/Source/gateway/slot_allocator.cpp
@@ -32,10 +32,10 @@
 {
 }
 
-awaitable<result<admission_place>> slot_allocator::acquire(http_exchange& exchange, const admitted_request& request, bool begun, bool again)
+awaitable<result<admission_slot>> slot_allocator::acquire(http_exchange& exchange, const admitted_request& request, bool begun, bool again)
 {
     if (!request.costs)
-        co_return admission_place();
+        co_return admission_slot();
     const instant now = m_context.now();
     service_slots& slots = slotsFor(request.service);
     setSlots(request, slots);
@@ -74,12 +74,12 @@
     slots.gate.setSlots(admissionShare({ load.targetRunning, load.requests, slots.gate.queue().running(), m_entries, m_groups.openFor(request.service, now) }));
 }
 
-awaitable<result<admission_place>> slot_allocator::enter(admission_gate& gate, admission_request asked, http_exchange& exchange)
+awaitable<result<admission_slot>> slot_allocator::enter(admission_gate& gate, admission_request asked, http_exchange& exchange)
 {
     const auto entered = co_await gate.enter(asked, exchange);
     if (!entered)
         co_return entered.error();
-    co_return admission_place(gate, entered.value());
+    co_return admission_slot(gate, entered.value());
 }
 
 void slot_allocator::recordFirstEvent(const std::string& service, milliseconds elapsed)
--- a/Source/gateway/slot_allocator.h
+++ b/Source/gateway/slot_allocator.h
@@ -1,7 +1,7 @@
 // Allocates request slots at the engines of model services.
 #pragma once
 
-#include "daemon/admission_place.h"
+#include "daemon/admission_slot.h"
 #include "gateway/admitted_request.h"
 #include "gateway/fleet_state.h"
 #include "policy/delay_estimate.h"
@@ -20,7 +20,7 @@
     // Waits for a slot for as long as that is of use to the caller. `begun`: an interrupted stream
     // that is to be resumed. `again`: the request was sent to a server before, so its caller may not
     // retry. Plain services need no slot.
-    awaitable<result<admission_place>> acquire(http_exchange&, const admitted_request&, bool begun, bool again);
+    awaitable<result<admission_slot>> acquire(http_exchange&, const admitted_request&, bool begun, bool again);
     // Share of the service's slots that were in use when the last request arrived.
     double busyShare(const std::string& service) { return slotsFor(service).busyShare; }
     // Sets the number of active entry VMs, this one included.
@@ -50,7 +50,7 @@
     service_slots& slotsFor(const std::string& service);
     // Sets how many slots this process may use now.
     void setSlots(const admitted_request&, service_slots&) const;
-    static awaitable<result<admission_place>> enter(admission_gate&, admission_request, http_exchange&);
+    static awaitable<result<admission_slot>> enter(admission_gate&, admission_request, http_exchange&);
 
     process_context& m_context;
     fleet_state& m_state;
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -353,7 +353,7 @@
         co_return attempt_outcome { mayHaveRun(failure_reason::backend_error, "the engine answered " + std::to_string(head.result_int())), attempt_result::failed };
     }
     auto relayed = co_await relayAnswer(call, std::move(head), exchange, state.relay, options);
-    if (relayed.end == relay_end::cut)
+    if (relayed.end == relay_end::truncated)
         co_return attempt_outcome { relayed.failed, relayed.failed->reason == failure_reason::deadline ? attempt_result::silent : attempt_result::failed };
     co_return attempt_outcome { std::nullopt, serverFailed ? attempt_result::failed : attempt_result::answered };
 }
--- a/Source/standin/group_standin.cpp
+++ b/Source/standin/group_standin.cpp
@@ -147,7 +147,7 @@
     asio::co_spawn(m_context.io(), stepLoop(), asio::detached);
     onStopSignal(m_context.io(), [&] { m_context.io().stop(); });
     printReady(m_servers.front()->port(), 0);
-    runToEnd(m_context);
+    runUntilStopped(m_context);
 }
 
 } // namespace rampgap::standin
--- a/Source/standin/main.cpp
+++ b/Source/standin/main.cpp
@@ -24,7 +24,7 @@
     }
     onStopSignal(context.io(), [&] { context.io().stop(); });
     printReady(server.value()->port(), 0);
-    runToEnd(context);
+    runUntilStopped(context);
 }
 
 } // namespace
