--- a/Source/daemon/configuration_node.h
+++ b/Source/daemon/configuration_node.h
@@ -28,15 +28,16 @@
 public:
     configuration_node(process_context&, const process_settings&, platform_source&, peer_client&, crash_history&, configuration_listener&);
 
-    // Starts the loops. `peerAddress` is where this process's peer server listens.
+    // Starts to read and to exchange configuration. `peerAddress`: where this process accepts messages of
+    // other rampgap processes.
     void start(std::string peerAddress);
 
     awaitable<wire::ExchangeReply> onExchange(wire::ExchangeRequest);
     // True if rendezvous hashing of `key` picks this process among the entry VMs listed as live.
     // Processes with the same list agree on the pick.
     bool isResponsibleEntry(std::string_view key) const;
-    // Sends updates of the crash history to all entry VMs if they are few, and to random processes,
-    // which pass them on.
+    // Sends new crash records: directly to all entry VMs if there are few of them, and to all processes
+    // of a small fleet. In a larger fleet a few random processes get them, too, and forward them.
     void announceCrashes();
     // Asks the agent of a backend server for its crash records of a request that was lost there.
     awaitable<void> queryCrashes(request_fingerprint, std::string backend);
@@ -59,7 +60,8 @@
     const revision_chain& chain() const { return m_chain; }
     const vm_list& vms() const { return m_vms; }
     bool isReader() const;
-    // True once a declaration is in force and a peer that has one has answered or the grace period is over.
+    // True once a declaration is in force, and in addition either a peer with a declaration has answered or
+    // the grace period after the start is over.
     bool ready() const;
     // Where the revision in force came from: "service", a peer's name, or "" if none was received.
     const std::string& source() const { return m_source; }
--- a/Source/daemon/daemon_main.h
+++ b/Source/daemon/daemon_main.h
@@ -39,7 +39,8 @@
     const char* role;
 };
 
-// The main function of a daemon: `Server::start` starts the server, `leave` begins its planned stop.
+// The main function of a daemon: reads flags and settings and calls `Server::start`; at a stop signal it
+// calls the server's `leave`, which begins a graceful stop.
 template <class Server, class Settings>
 int runDaemon(int argc, char** argv, const daemon_identity&, settings_result<Settings> (*parse)(const std::string& text, const std::string& file));
 
--- a/Source/gateway/crash_reporter.cpp
+++ b/Source/gateway/crash_reporter.cpp
@@ -4,12 +4,12 @@
 
 namespace rampgap {
 
-crash_reporter::crash_reporter(process_context& context, decision_log& log, fleet_state& state, crash_history& history, http_request ping)
+crash_reporter::crash_reporter(process_context& context, decision_log& log, fleet_state& state, crash_history& history, http_request probeRequest)
     : m_context(context)
     , m_log(log)
     , m_state(state)
     , m_history(history)
-    , m_watch(context, history, *this, std::move(ping))
+    , m_watch(context, history, *this, std::move(probeRequest))
 {
     m_history.onServerCrashed([this](std::uint32_t incarnationHash) { recordPeerReport(incarnationHash); });
 }
--- a/Source/gateway/crash_reporter.h
+++ b/Source/gateway/crash_reporter.h
@@ -14,7 +14,7 @@
 
 class crash_reporter : private crash_listener {
 public:
-    crash_reporter(process_context&, decision_log&, fleet_state&, crash_history&, http_request ping);
+    crash_reporter(process_context&, decision_log&, fleet_state&, crash_history&, http_request probeRequest);
 
     // Called when the history has new records for the fleet.
     void onUpdate(std::function<void()> action) { m_onUpdate = std::move(action); }
--- a/Source/gateway/gateway_server.cpp
+++ b/Source/gateway/gateway_server.cpp
@@ -71,15 +71,15 @@
     const route_spec* route = configuration ? configuration->findRoute(parsed.host, parsed.path) : nullptr;
     if (!route || route->isPublic || !configuration->usesKeys())
         co_return;
-    group_wait_input question;
-    question.timeLeft = parsed.timeLeft.value_or(route->timeout);
+    group_wait_input input;
+    input.timeLeft = parsed.timeLeft.value_or(route->timeout);
     // Half of the time is kept for the answer, or for a retry after a pause.
-    question.run = question.timeLeft / 2;
-    question.patience = callerPatience(route->latencyTarget, route->gapTarget);
-    question.waited = std::chrono::duration_cast<milliseconds>(m_context.now() - exchange.receivedAt());
-    question.closedFor = m_freshness.refusedFor(m_state.published().freshAsOf(), m_context.now());
+    input.run = input.timeLeft / 2;
+    input.patience = callerPatience(route->latencyTarget, route->gapTarget);
+    input.waited = std::chrono::duration_cast<milliseconds>(m_context.now() - exchange.receivedAt());
+    input.closedFor = m_freshness.refusedFor(m_state.published().freshAsOf(), m_context.now());
     std::function<bool()> missing = [this] { return !m_freshness.mayUseKeys(m_state.published().freshAsOf(), m_context.now()); };
-    co_await waitWhile(m_context, exchange, std::move(missing), m_context.now() + decideGroupWait(question).wait, freshnessPoll);
+    co_await waitWhile(m_context, exchange, std::move(missing), m_context.now() + decideGroupWait(input).wait, freshnessPoll);
 }
 
 // The clock is read here, not when the request arrived: a process that was paused must not rely on
--- a/Source/gateway/peer_exchange.cpp
+++ b/Source/gateway/peer_exchange.cpp
@@ -18,18 +18,18 @@
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr std::size_t largestDatagram = 8'192;
-    // One in so many reports also carries the known processes.
+    // One report of this many also carries the known processes.
     constexpr int reportsPerMembership = 4;
     constexpr std::size_t processesPerDatagram = 24;
     // An agent has no work to report; it only needs to keep knowing a few entry VMs.
     constexpr std::size_t reportFanoutOfAgent = 1;
-    // Entry VMs to which a process sends a change of a group when it learns of it. This reaches all
-    // of 149 in three or four rounds with 6 datagrams per entry VM; sending from each of 129 agents to
-    // each entry VM would take nearly 20,000 datagrams.
+    // Number of entry VMs to which a process forwards a changed state of a group. So the change reaches
+    // all of 149 entry VMs in three or four rounds, and each of them sends 6 datagrams. If each of 129
+    // agents sent it to each entry VM, that would take 19,000 datagrams.
     constexpr std::size_t groupFanout = 6;
     // The same for an agent: fewer, as all agents of a group see the change themselves.
     constexpr std::size_t groupFanoutOfAgent = 3;
-    // Up to so many entry VMs are sent rank loads directly: forwarding costs a millisecond, and a
+    // If there are no more entry VMs than this, all are sent rank loads directly: forwarding costs a millisecond, and a
     // forwarding VM that is gone costs a whole interval.
     constexpr std::size_t maxDirectRecipients = 8;
     // Between two queries of a process that holds no state yet.
--- a/Source/gateway/slot_allocator.cpp
+++ b/Source/gateway/slot_allocator.cpp
@@ -39,19 +39,19 @@
     const instant now = m_context.now();
     service_slots& slots = slotsFor(request.service);
     setSlots(request, slots);
-    admission_wait_input question;
-    question.begun = begun;
-    question.slotsFree = !slots.gate.full();
-    question.latencyTarget = request.route.latencyTarget;
-    question.firstEvent = std::min(slots.firstEvent.value(), request.route.gapTarget * firstEventPasses);
-    question.run = slots.run.mean();
-    question.waited = request.waited(now);
-    question.timeLeft = request.timeLeft(now);
-    question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
-    question.firstTime = request.isFirstAttempt() && !again;
+    admission_wait_input input;
+    input.begun = begun;
+    input.slotsFree = !slots.gate.full();
+    input.latencyTarget = request.route.latencyTarget;
+    input.firstEvent = std::min(slots.firstEvent.value(), request.route.gapTarget * firstEventPasses);
+    input.run = slots.run.mean();
+    input.waited = request.waited(now);
+    input.timeLeft = request.timeLeft(now);
+    input.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
+    input.firstTime = request.isFirstAttempt() && !again;
     admission_request asked { request.workspace, resumedStreamPriority, now };
     failure refused = notRun(failure_reason::queue_full, "no request slot became free in time");
-    for (const auto& stage : planAdmission(question)) {
+    for (const auto& stage : planAdmission(input)) {
         asked.priority = stage.priority;
         asked.deadline += stage.longest;
         auto slot = co_await enter(slots.gate, asked, exchange);
@@ -68,8 +68,8 @@
 {
     const instant now = m_context.now();
     const milliseconds gap = passTimeLimit(request.route.gapTarget);
-    const pool_load_input question { request.service, request.costs, gap, slots.run.mean(), now };
-    const pool_load load = poolLoad(question, m_state.backends(), m_loads, m_groups, m_backpressure);
+    const pool_load_input input { request.service, request.costs, gap, slots.run.mean(), now };
+    const pool_load load = poolLoad(input, m_state.backends(), m_loads, m_groups, m_backpressure);
     slots.busyShare = load.capacity > 0 ? static_cast<double>(load.requests) / load.capacity : 1;
     slots.gate.setSlots(admissionShare({ load.targetRunning, load.requests, slots.gate.queue().running(), m_entries, m_groups.openFor(request.service, now) }));
 }
--- a/Source/gateway/upstream_dispatcher.cpp
+++ b/Source/gateway/upstream_dispatcher.cpp
@@ -170,13 +170,13 @@
 {
     if (!noGroupOpenFor(request))
         co_return std::nullopt;
-    group_wait_input question;
-    question.timeLeft = request.timeLeft(m_context.now());
-    question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
-    question.waited = request.waited(m_context.now());
-    question.run = m_slots.typicalRun(request.service);
-    question.closedFor = m_groups.closedFor(request.service, m_context.now());
-    group_wait_decision decision = decideGroupWait(question);
+    group_wait_input input;
+    input.timeLeft = request.timeLeft(m_context.now());
+    input.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
+    input.waited = request.waited(m_context.now());
+    input.run = m_slots.typicalRun(request.service);
+    input.closedFor = m_groups.closedFor(request.service, m_context.now());
+    group_wait_decision decision = decideGroupWait(input);
     // The caller of an interrupted stream has been waiting since its last event.
     if (state.relay.begun)
         decision.wait = resumeWait;
@@ -243,13 +243,13 @@
         return std::min(request.deadline, sentAt + maxSilentTargets * request.route.latencyTarget);
     if (!request.costs || state.relay.begun)
         return request.deadline;
-    first_event_input question;
-    question.typicalDelay = m_slots.typicalFirstEvent(request.service);
-    question.latencyTarget = request.route.latencyTarget;
-    question.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
-    question.waited = request.waited(sentAt);
-    question.busyFraction = m_slots.busyShare(request.service);
-    const auto limit = firstEventLimit(question);
+    first_event_input input;
+    input.typicalDelay = m_slots.typicalFirstEvent(request.service);
+    input.latencyTarget = request.route.latencyTarget;
+    input.patience = callerPatience(request.route.latencyTarget, request.route.gapTarget);
+    input.waited = request.waited(sentAt);
+    input.busyFraction = m_slots.busyShare(request.service);
+    const auto limit = firstEventLimit(input);
     return limit ? std::min(request.deadline, sentAt + *limit) : request.deadline;
 }
 
--- a/Source/gateway/upstream_picker.cpp
+++ b/Source/gateway/upstream_picker.cpp
@@ -30,8 +30,8 @@
 std::string upstream_picker::choose(const admitted_request& request, const attempted_servers& attempted) const
 {
     const instant now = m_context.now();
-    const upstream_input question { request.service, request.costs, request.parsed.promptTokens, attempted.all, attempted.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
-    return m_choice.choose(question, m_state.backends(), m_loads, m_groups, m_backpressure, m_context.random());
+    const upstream_input input { request.service, request.costs, request.parsed.promptTokens, attempted.all, attempted.silent, m_context.zone(), now, request.priority, request.route.gapTarget };
+    return m_choice.choose(input, m_state.backends(), m_loads, m_groups, m_backpressure, m_context.random());
 }
 
 // Another request may use a grant while this one waits, so the grant is consumed without suspension
--- a/Source/policy/call_tree.h
+++ b/Source/policy/call_tree.h
@@ -43,7 +43,8 @@
 // are enough of them.
 std::vector<std::vector<call_target>> splitCall(const std::vector<call_target>&, std::size_t fanout = callFanout);
 
-// Levels of the tree for so many targets: messages in sequence until the last one is reached.
+// Number of levels of the forwarding tree for this many targets: how many messages are sent one after
+// the other until the last target is reached.
 std::size_t callDepth(std::size_t targets, std::size_t fanout = callFanout);
 
 // What determines how long and how often a group may be called.
@@ -61,7 +62,7 @@
 // How often a leader polls all ranks.
 struct poll_plan {
     milliseconds pause { 0 };
-    // One of so many polls asks for the counts of chosen experts as well.
+    // One poll in this many also asks for the counts of chosen experts.
     int pollsPerCounts = 1;
 
     bool operator==(const poll_plan&) const = default;
--- a/Source/policy/crash_detector.h
+++ b/Source/policy/crash_detector.h
@@ -55,10 +55,11 @@
     void recordAnswered(const server_incarnation&, instant sentAt);
     // The server has kept listening for long: whatever broke off its calls up to `then` was no crash.
     void recordAlive(const server_incarnation&, instant then);
-    // A probe ended without a result: it got no answer, or the server still listened and so either runs
-    // on or takes longer to end than the probe. There is no further probe until the next call is lost.
+    // A probe has not shown whether the server crashed: it got no answer, or the server still listened and
+    // may be running or still ending. No further probe is requested until the next call is lost.
     void recordUndecided(const server_incarnation&);
-    // Nothing listens at the server's address, or it was restarted. Returns the calls that it was running.
+    // The server has crashed: nothing listens at its address, or it was restarted. Returns the calls that it
+    // was running, and no longer keeps them.
     std::vector<lost_call> recordCrashed(const server_incarnation&, instant now);
     bool hasCrashed(const server_incarnation&, instant now) const;
 
--- a/Source/policy/expert_placement.h
+++ b/Source/policy/expert_placement.h
@@ -1,4 +1,4 @@
-// Assignment of the experts of one layer to the slots of the ranks, and the step time it gives.
+// Assigns the experts of one layer to the slots of the ranks, and computes the resulting step times.
 #pragma once
 
 #include <cstdint>
--- a/Source/policy/fleet_configuration.h
+++ b/Source/policy/fleet_configuration.h
@@ -30,7 +30,7 @@
     // Begins and ends with a slash.
     std::string pathPrefix;
     repeat_rule repeat = repeat_rule::non_idempotent;
-    // Longest time that a caller waits for its final answer.
+    // Longest time from a request's arrival to its final answer; a caller may set an earlier deadline.
     milliseconds timeout { 0 };
     // Target for the time to the answer, of a stream to its first byte; an answer within it has its full value.
     milliseconds latencyTarget { 0 };
--- a/Source/policy/limit_arbiter.cpp
+++ b/Source/policy/limit_arbiter.cpp
@@ -59,18 +59,18 @@
 }
 
 // A bucket starts empty: the server may have had another arbiter a moment ago.
-grant_answer limit_arbiter::answer(const std::string& requester, const grant_question& question, double perSecond, instant now)
+grant_answer limit_arbiter::answer(const std::string& requester, const grant_question& query, double perSecond, instant now)
 {
     const double rate = std::max(safetyFactor * perSecond, minPerSecond) * visibleFraction();
-    auto& entry = m_buckets.try_emplace(question.server, bucket { token_bucket(0, now), {}, {} }).first->second;
+    auto& entry = m_buckets.try_emplace(query.server, bucket { token_bucket(0, now), {}, {} }).first->second;
     entry.tokens.fill(rate, std::max(minBurst, rate * burstSeconds), now);
     entry.requesters[requester] = now;
-    const double reserve = moreUrgentDenied(entry, question.priority, now) ? urgentReserve : 0;
-    const int granted = std::clamp(static_cast<int>(entry.tokens.tokens() - reserve), 0, std::max(0, question.wanted));
+    const double reserve = moreUrgentDenied(entry, query.priority, now) ? urgentReserve : 0;
+    const int granted = std::clamp(static_cast<int>(entry.tokens.tokens() - reserve), 0, std::max(0, query.wanted));
     entry.tokens.take(granted);
     if (granted == 0)
-        entry.deniedAt[question.priority] = now;
-    return { question.server, granted, askAgainDelay(now) };
+        entry.deniedAt[query.priority] = now;
+    return { query.server, granted, askAgainDelay(now) };
 }
 
 } // namespace rampgap
--- a/Source/policy/map_switch.h
+++ b/Source/policy/map_switch.h
@@ -40,8 +40,9 @@
 };
 
 struct switch_settings {
-    // Steps between the newest reported one and the held one. All ranks should be armed before the
-    // group reaches the held step; an order that arrives late must find that step begun.
+    // The held step is this many steps after the newest reported one. It must be far enough ahead for all
+    // ranks to be armed before the group reaches it, and near enough to have begun when a delayed order
+    // arrives.
     std::uint64_t stepsAhead = 2;
     // Fence of the orders; a cancelled change continues with the next number.
     std::uint64_t fence = 0;
--- a/Source/policy/server_limits.cpp
+++ b/Source/policy/server_limits.cpp
@@ -32,7 +32,7 @@
 
 void server_limits::recordAnswer(server_hash server, std::optional<double> perSecond, instant now)
 {
-    // The usual case: the server has never reported a limit.
+    // The usual case: the server has no limit and never reported one, so there is nothing to store.
     if (!perSecond && !m_reports.contains(server))
         return;
     store(server, { perSecond, now }, now);
--- a/Source/policy/upstream_choice.h
+++ b/Source/policy/upstream_choice.h
@@ -61,9 +61,9 @@
 
 class upstream_choice {
 public:
-    // The id of the server; empty if the service has none that requests may be sent to. A server of a
-    // closed group is chosen only if all groups are closed. One whose group's passes are too long for
-    // the caller, or whose group has all requests that it can run in time, only if no other is left.
+    // Returns the id of the server to send the request to; empty if there is none. Servers of closed
+    // groups are used only if all groups are closed. Servers of a group whose passes are too long for
+    // the caller, or that has no free slot for a request on time, are used only if there are no others.
     std::string choose(const upstream_input&, const backend_directory&, const load_table&, const group_directory&, const server_backpressure&, std::mt19937_64&) const;
 
 private:
--- a/Tests/platform/limit-exchange/test.cpp
+++ b/Tests/platform/limit-exchange/test.cpp
@@ -100,7 +100,7 @@
     limits.onGrantQuestions([this] { exchange.sendGrantQueries(); });
 }
 
-// Its sender's fields are as large as in a real datagram.
+// Fills the fields about the sender with values as large as real ones can be.
 gateway::peer_datagram node::makeDatagram() const
 {
     gateway::peer_datagram datagram;
--- a/Tests/platform/store-epoch/test.cpp
+++ b/Tests/platform/store-epoch/test.cpp
@@ -1,5 +1,5 @@
-// The store may be restored from a copy between two pages of a listing, or between a watch and its answer. Whatever the
-// adapter reads carries the store's epoch, so that revisions from before and after are not mixed.
+// Guards against a reading that mixes revisions from before and after a restoration of the store. The store may be
+// restored between two pages of a listing or between a watch and its answer, so each answer carries the store's epoch.
 #include "daemon/http_server.h"
 #include "platform/store_client.h"
 
--- a/Tests/requests/cancelled-call/test.cpp
+++ b/Tests/requests/cancelled-call/test.cpp
@@ -1,4 +1,5 @@
-// Fault: the connection of an abandoned call is closed without a reset, so that its request is delivered later.
+// Guards against requests that reach a stalled server after their caller has left: if the connection of an abandoned call
+// is closed without a reset, the kernel still delivers the unread request later.
 #include "daemon/http_client.h"
 
 #include <boost/asio/as_tuple.hpp>
--- a/Utilities/mutation-check.py
+++ b/Utilities/mutation-check.py
@@ -78,7 +78,7 @@
     ("withdrawn_for_ever", "crash_detector.cpp", "std::erase_if(entry->second.withdrawn, [sentAt](const lost_call& call) { return call.lostAt <= sentAt; });", "", "platform/crash-detection"),
     ("alive_taken_for_crashed", "crash_detector.cpp", "std::erase_if(entry->second.calls, [then](const lost_call& call) { return call.lostAt <= then; });", "", "platform/crash-detection"),
     ("limit_for_each_vm", "server_limits.cpp", "if (!limitOf(server, now))\n        return true;\n    const auto account", "if (limitOf(server, now))\n        return true;\n    const auto account", "platform/server-limit"),
-    ("grants_beyond_the_limit", "limit_arbiter.cpp", "static_cast<int>(entry.tokens.tokens() - reserve)", "question.wanted", "platform/server-limit"),
+    ("grants_beyond_the_limit", "limit_arbiter.cpp", "static_cast<int>(entry.tokens.tokens() - reserve)", "query.wanted", "platform/server-limit"),
     ("arbiter_begins_full", "limit_arbiter.cpp", "entry.tokens.take(granted);", "", "platform/server-limit"),
     ("part_of_the_fleet_grants_all", "limit_arbiter.cpp", "minPerSecond) * visibleFraction()", "minPerSecond)", "platform/server-limit"),
     ("limit_outlives_the_life", "server_limits.cpp", "m_forgottenAt[server] = now;", "", "platform/server-limit"),
