--- a/Source/gateway/gateway_server.cpp
+++ b/Source/gateway/gateway_server.cpp
@@ -49,8 +49,8 @@
 }
 
 // Load pattern: all processes restart at once, and callers retry before the first configuration
-// has been read. If these were refused, two of five callers would use up their one retry before
-// any group is open again.
+// has been read. If these were refused, two of five callers (230 of 560) would use up their one
+// retry before any group is open again.
 awaitable<void> gateway_server::awaitConfiguration(http_exchange& exchange)
 {
     if (m_state.configuration())
--- a/Source/policy/call_tree.h
+++ b/Source/policy/call_tree.h
@@ -71,8 +71,8 @@
 // Polls use a quarter of the link, with at least `minPause` between them (small groups). Load
 // pattern: entry VMs choose ranks by the polled state; where it is old, a request waits at a full
 // rank while others have free slots. Counts make up most of the bytes, so where they would fill the
-// link every other poll omits them. Polling a group of 129 ranks each 0.2 s instead of each 0.1 s
-// would make 0.020 instead of 0.014 of the requests late because of such waits.
+// link every other poll omits them. With 0.7 of the request slots in use, polling 129 ranks each 0.2 s
+// instead of each 0.1 s would make 0.020 instead of 0.014 of the requests late because of such waits.
 poll_plan planPolls(const call_limits&, milliseconds minPause);
 
 } // namespace rampgap
--- a/Source/policy/peer_table.cpp
+++ b/Source/policy/peer_table.cpp
@@ -54,7 +54,7 @@
 
 // The rounds in which gossip reaches all processes grow in number with the logarithm of the fleet's
 // size. With a fixed 3 s, each of 149 processes would wrongly drop two others per second even where
-// nothing fails.
+// nothing fails, 10,500 in 30 s.
 milliseconds peer_table::silenceLimit() const
 {
     const double spread = static_cast<double>(count(peer_role::entry) + 1) / static_cast<double>(gossipFanout);
--- a/Source/policy/peer_table.h
+++ b/Source/policy/peer_table.h
@@ -31,7 +31,7 @@
 // The live processes, by their own messages and by what others report about them.
 class peer_table {
 public:
-    // `silence`: time without news after which a process counts as gone, in a fleet so small that
+    // `silence`: time without a message or report after which a process counts as gone, in a fleet so small that
     // each process sends to all others. In a larger one gossip takes longer, so the time grows.
     peer_table(peer_info self, std::vector<std::string> seedHosts, milliseconds silence);
 
@@ -58,7 +58,7 @@
     // on it once they have received the same gossip.
     std::string responsibleEntry(std::string_view key) const;
     bool isResponsibleEntry(std::string_view key) const { return responsibleEntry(key) == m_self.host; }
-    // Time since the last news of a peer.
+    // Time since the last message of a peer or report about it.
     milliseconds age(const std::string& host, instant now) const;
     // Up to `count` random live peers.
     std::vector<peer_info> sample(peer_role, std::size_t count, std::mt19937_64&) const;
--- a/Source/policy/upstream_choice.cpp
+++ b/Source/policy/upstream_choice.cpp
@@ -21,8 +21,9 @@
     // Cost of a failed attempt: its time and a unit of the retry budget.
     constexpr double failedAttemptMs = 600;
     // Number of servers that one choice compares. If 40 entry VMs with counts 0.2 s old all chose the
-    // least loaded of 63, queues of 16 would form there. With 149 entry VMs at 129 ranks 0.020 of the
-    // requests wait too long at a full rank; with six instead of four it would be 0.032.
+    // least loaded of 63, queues of 16 would form there. With 149 entry VMs at 129 ranks and 0.7 of
+    // the request slots in use, 0.020 of the requests wait too long at a full rank; with six instead of
+    // four it would be 0.032.
     constexpr int comparedServers = 4;
     // How much more often a server of the own zone is among them than another one. With five zones
     // mostly one or two of the four are of the own zone.
@@ -70,7 +71,7 @@
     // groups. All passes of that group are too long, whichever rank a request is at, while the other
     // groups have free slots. Not decided rank by rank: entry VMs with the same old counts would all
     // choose the few ranks that seem to have free slots, and 0.024 instead of 0.020 of the
-    // requests would wait too long.
+    // requests would wait too long (149 entry VMs, 129 ranks).
     bool runsInTime(const upstream_input& input, const group_load& load)
     {
         const milliseconds gap = passTimeLimit(input.longestGap);
--- a/Tests/platform/retained-items/test.cpp
+++ b/Tests/platform/retained-items/test.cpp
@@ -156,7 +156,7 @@
 }
 
 // An entry VM that had been suspended while the store was restored listed it when it resumed. It kept a server that had
-// gone 2 s before for two more seconds and sent it a request, though its peers had known of the store's return all along.
+// gone 2 s before for two more seconds and sent it a request 1.2 s later, though its peers had known of the store's return all along.
 TEST_CASE("a VM that finds a restoration late keeps missing servers no longer than its peers do")
 {
     vm resumed;
